--- a/hyssopfold/core/consensus/operations.py
+++ b/hyssopfold/core/consensus/operations.py
@@ -18,7 +18,7 @@
     def candidate(self, name: str) -> messages.Member | str:
         """Return the instance if it has caught up, else why it may not vote."""
 
-    def surplus(
+    def rejection_reason(
         self, register: messages.Register, name: str, wanted: int
     ) -> str:
         """Return why the instance should not vote beside the members, or ""."""
@@ -99,9 +99,11 @@
     if isinstance(new, str):
         return _refuse(register, new)
     if operation.wanted:
-        surplus = view.surplus(register, operation.name, operation.wanted)
-        if surplus:
-            return _refuse(register, surplus)
+        rejection_reason = view.rejection_reason(
+            register, operation.name, operation.wanted
+        )
+        if rejection_reason:
+            return _refuse(register, rejection_reason)
     return _change(register, (*register.members, new), register.retired)
 
 
--- a/hyssopfold/core/consensus/peers.py
+++ b/hyssopfold/core/consensus/peers.py
@@ -6,7 +6,7 @@
 from hyssopfold.core.consensus import messages
 from hyssopfold.core.consensus import quorums
 from hyssopfold.core.consensus import replica as replica_module
-from hyssopfold.core.consensus import seats as seats_module
+from hyssopfold.core.consensus import voter_selection
 
 SILENT_S = 5.0
 # Seconds without a word, of which one is due every second where instances
@@ -286,11 +286,11 @@
             return None
         if new.id in register.retired or not self._has_caught_up(status):
             return None
-        if self.surplus(register, new.name, wanted, now):
+        if self.rejection_reason(register, new.name, wanted, now):
             return None
         return messages.AddMember(0, new.name, wanted)
 
-    def surplus(
+    def rejection_reason(
         self, register: messages.Register, name: str, wanted: int, now: float
     ) -> str:
         """Return why a newcomer should not vote beside the members, or "".
@@ -300,7 +300,7 @@
         a newcomer of a region with fewer votes goes first. Where no other
         region offers one, any voter is better than one too few.
         """
-        seats = seats_module.Seats(
+        selection = voter_selection.VoterSelection(
             register.members, self._regions(), set(self._silent(ABSENT_S, now))
         )
         region = self._regions().get(name, "")
@@ -309,7 +309,7 @@
             for status in self.statuses(now)
             if not status.fault and register.member(status.member.name) is None
         ]
-        return seats.surplus(region, others, wanted)
+        return selection.rejection_reason(region, others, wanted)
 
     def dismissal(
         self, wanted: int, now: float
@@ -329,9 +329,13 @@
         if self._silent(ABSENT_S, now):
             # It is lost, or back soon: known before long.
             return None
-        seats = seats_module.Seats(members, self._regions(), set())
+        selection = voter_selection.VoterSelection(
+            members, self._regions(), set()
+        )
         me = self._replica.identity.member.name
-        return messages.RemoveMember(0, seats.spare(me), retires=False)
+        return messages.RemoveMember(
+            0, selection.least_needed(me), retires=False
+        )
 
     def _regions(self) -> dict[str, str]:
         """Return the region of each instance that was heard of."""
@@ -374,11 +378,11 @@
         """Return the instance if it has caught up, else why it may not vote."""
         return self._peers.candidate(name, self._now)
 
-    def surplus(
+    def rejection_reason(
         self, register: messages.Register, name: str, wanted: int
     ) -> str:
         """Return why the instance should not vote beside the members."""
-        return self._peers.surplus(register, name, wanted, self._now)
+        return self._peers.rejection_reason(register, name, wanted, self._now)
 
     def majority_heard(self, members: Sequence[messages.Member]) -> bool:
         """Return whether a majority of `members` was heard of lately."""
--- a/hyssopfold/core/consensus/seats.py
+++ b/hyssopfold/core/consensus/voter_selection.py
@@ -7,7 +7,7 @@
 from hyssopfold.core.consensus import messages
 
 
-class Seats:
+class VoterSelection:
     """The votes that are held, by region.
 
     Args:
@@ -28,7 +28,9 @@
     def _count(self, region: str) -> int:
         return sum(self._regions.get(name) == region for name in self._held)
 
-    def surplus(self, region: str, others: Collection[str], wanted: int) -> str:
+    def rejection_reason(
+        self, region: str, others: Collection[str], wanted: int
+    ) -> str:
         """Return why a newcomer in `region` should not vote, or "".
 
         Args:
@@ -49,7 +51,7 @@
             return f"{wanted} vote already"
         return ""
 
-    def spare(self, me: str) -> str:
+    def least_needed(self, me: str) -> str:
         """Return whose vote is missed least: one of the fullest region.
 
         Never the one that asks: it would have to confirm its own removal.
