--- a/hyssopfold/control/instance.py
+++ b/hyssopfold/control/instance.py
@@ -36,7 +36,9 @@
     ) -> None:
         """Write and sync an accepted register."""
 
-    def save_sightings(self, sightings: tuple[messages.Sighting, ...]) -> None:
+    def save_observed_starts(
+        self, observed_starts: tuple[messages.ObservedStart, ...]
+    ) -> None:
         """Write and sync what was seen of others."""
 
     def save_all(self, durable: messages.Durable) -> None:
@@ -290,8 +292,10 @@
 
 
 @_carry.register
-async def _(effect: messages.SaveSightings, instance: Instance) -> None:
-    await instance.save(instance.records.save_sightings, effect.sightings)
+async def _(effect: messages.SaveObservedStarts, instance: Instance) -> None:
+    await instance.save(
+        instance.records.save_observed_starts, effect.observed_starts
+    )
 
 
 @_carry.register
--- a/hyssopfold/core/consensus/messages.py
+++ b/hyssopfold/core/consensus/messages.py
@@ -113,7 +113,7 @@
     register: Register = BLANK_REGISTER
 
 
-class Sighting(NamedTuple):
+class ObservedStart(NamedTuple):
     """What was seen of a member: its latest start, and its newest vote.
 
     `starts` counts the starts of a data folder and `nonce` is random for each.
@@ -133,7 +133,7 @@
     member: Member
     starts: int
     nonce: str
-    sightings: tuple[Sighting, ...] = ()
+    observed_starts: tuple[ObservedStart, ...] = ()
 
 
 class Prepare(NamedTuple):
@@ -234,7 +234,7 @@
     epoch: int
     cluster: str
     listed: tuple[str, ...]
-    seen: Sighting | None
+    seen: ObservedStart | None
     ask: bool
     fault: str
     region: str = ""
@@ -369,10 +369,10 @@
     register: Register
 
 
-class SaveSightings(NamedTuple):
+class SaveObservedStarts(NamedTuple):
     """Effect: write and sync before any later effect is carried out."""
 
-    sightings: tuple[Sighting, ...]
+    observed_starts: tuple[ObservedStart, ...]
 
 
 class Send(NamedTuple):
@@ -457,7 +457,7 @@
 Effect = (
     SavePromise
     | SaveRegister
-    | SaveSightings
+    | SaveObservedStarts
     | Send
     | Learned
     | Faulted
--- a/hyssopfold/core/consensus/node.py
+++ b/hyssopfold/core/consensus/node.py
@@ -332,7 +332,7 @@
 
     def _status(self, to: messages.Member | None, ask: bool) -> messages.Status:
         identity = self.replica.identity
-        seen = self.peers.sighting_of(to.id) if to is not None else None
+        seen = self.peers.observed_start_of(to.id) if to is not None else None
         # A vote that the disk refused is in memory alone: told, it would make
         # this folder look like an older copy after the next restart.
         is_synced = not self._storage_fault
--- a/hyssopfold/core/consensus/peers.py
+++ b/hyssopfold/core/consensus/peers.py
@@ -15,7 +15,7 @@
 # a member's vote is taken for good.
 ABSENT_S = 1.6
 LOST_S = 6.0
-MAX_SIGHTINGS = 32
+MAX_OBSERVED_STARTS = 32
 
 CONFIRMING = "it waits until others have confirmed its data folder"
 OLDER_COPY = (
@@ -61,7 +61,9 @@
         # Since when a member that was never heard of is waited for.
         self._since: dict[str, float] = {}
         identity = replica.identity
-        self._sightings = {s.member_id: s for s in identity.sightings}
+        self._observed_starts = {
+            s.member_id: s for s in identity.observed_starts
+        }
         self._confirmed_by: set[str] = set()
         self.stale = False
 
@@ -96,18 +98,20 @@
                 return endpoint
         return None
 
-    def sighting_of(self, member_id: str) -> messages.Sighting | None:
+    def observed_start_of(
+        self, member_id: str
+    ) -> messages.ObservedStart | None:
         """Return what was seen of a member."""
-        return self._sightings.get(member_id)
+        return self._observed_starts.get(member_id)
 
     def note_accepted(
         self, member_id: str, accepted: messages.Ballot, nonce: str
     ) -> None:
         """Remember a vote, so that a folder without it is known as a copy."""
-        known = self._sightings.get(member_id)
+        known = self._observed_starts.get(member_id)
         if known is not None and known.nonce == nonce:
             newest = max(known.accepted, accepted)
-            self._sightings[member_id] = known._replace(accepted=newest)
+            self._observed_starts[member_id] = known._replace(accepted=newest)
 
     def hear(
         self,
@@ -124,20 +128,20 @@
         self, status: messages.Status, effects: list[messages.Effect]
     ) -> None:
         member_id = status.member.id
-        known = self._sightings.get(member_id)
+        known = self._observed_starts.get(member_id)
         if known is not None and known.nonce == status.nonce:
             self.note_accepted(member_id, status.accepted, status.nonce)
             return
         if known is not None and _is_older(status, known):
             return
-        self._sightings.pop(member_id, None)
-        self._sightings[member_id] = messages.Sighting(
+        self._observed_starts.pop(member_id, None)
+        self._observed_starts[member_id] = messages.ObservedStart(
             member_id, status.starts, status.nonce, status.accepted
         )
-        while len(self._sightings) > MAX_SIGHTINGS:
-            del self._sightings[next(iter(self._sightings))]
-        sightings = tuple(self._sightings.values())
-        effects.append(messages.SaveSightings(sightings))
+        while len(self._observed_starts) > MAX_OBSERVED_STARTS:
+            del self._observed_starts[next(iter(self._observed_starts))]
+        observed_starts = tuple(self._observed_starts.values())
+        effects.append(messages.SaveObservedStarts(observed_starts))
 
     def _judge_self(self, status: messages.Status) -> None:
         """Learn from what the other has seen of this instance."""
@@ -389,5 +393,5 @@
         return self._peers.majority_heard(members, self._now)
 
 
-def _is_older(status: messages.Status, known: messages.Sighting) -> bool:
+def _is_older(status: messages.Status, known: messages.ObservedStart) -> bool:
     return status.starts <= known.starts or status.accepted < known.accepted
--- a/hyssopfold/storage/records.py
+++ b/hyssopfold/storage/records.py
@@ -18,7 +18,7 @@
 STARTS = "starts"
 PROMISE = "promise"
 REGISTER = "register"
-SIGHTINGS = "sightings"
+OBSERVED_STARTS = "sightings"
 
 _TOKEN_BITS = 64
 
@@ -54,14 +54,14 @@
     register: messages.Register
 
 
-class Sightings(NamedTuple):
+class ObservedStarts(NamedTuple):
     """What was seen of other members' starts."""
 
     incarnation: str
-    sightings: tuple[messages.Sighting, ...]
+    observed_starts: tuple[messages.ObservedStart, ...]
 
 
-Kind = TypeVar("Kind", Identity, Starts, Promise, Register, Sightings)
+Kind = TypeVar("Kind", Identity, Starts, Promise, Register, ObservedStarts)
 
 
 class MemberRecords:
@@ -108,9 +108,13 @@
         starts = self._require(STARTS, Starts)
         starts = Starts(self._incarnation, starts.opened + 1, self._token())
         self._write(STARTS, starts)
-        sightings = self._read(SIGHTINGS, Sightings)
+        observed_starts = self._read(OBSERVED_STARTS, ObservedStarts)
         member = messages.Member(self._name, address, self._incarnation)
-        seen = sightings.sightings if sightings is not None else ()
+        seen = (
+            observed_starts.observed_starts
+            if observed_starts is not None
+            else ()
+        )
         whole = messages.Identity(member, starts.opened, starts.nonce, seen)
         return whole, durable
 
@@ -173,13 +177,17 @@
             self._formed = True
             self.save_promise(max(self._promised, accepted))
 
-    def save_sightings(self, sightings: tuple[messages.Sighting, ...]) -> None:
+    def save_observed_starts(
+        self, observed_starts: tuple[messages.ObservedStart, ...]
+    ) -> None:
         """Write and sync what was seen of others.
 
         Raises:
             StorageWriteError: when it may be lost.
         """
-        self._write(SIGHTINGS, Sightings(self._incarnation, sightings))
+        self._write(
+            OBSERVED_STARTS, ObservedStarts(self._incarnation, observed_starts)
+        )
 
     def save_all(self, durable: messages.Durable) -> None:
         """Write and sync all votes, after an earlier save failed.
--- a/tests/steps/control/instance_steps.py
+++ b/tests/steps/control/instance_steps.py
@@ -32,7 +32,7 @@
         self._check()
         self.register = register
 
-    def save_sightings(self, sightings):
+    def save_observed_starts(self, observed_starts):
         self._check()
 
     def save_all(self, durable):
--- a/tests/steps/control/orders_steps.py
+++ b/tests/steps/control/orders_steps.py
@@ -29,7 +29,7 @@
     def save_register(self, accepted, register):
         pass
 
-    def save_sightings(self, sightings):
+    def save_observed_starts(self, observed_starts):
         pass
 
     def save_all(self, durable):
--- a/tests/support/fake_members.py
+++ b/tests/support/fake_members.py
@@ -16,7 +16,7 @@
         self.incarnation = incarnation
         self.starts = 0
         self.durable = node.BLANK
-        self.sightings = ()
+        self.observed_starts = ()
         self.full = False
 
     def copy(self):
@@ -36,11 +36,15 @@
                 self.durable = messages.Durable(
                     promised, effect.accepted, effect.register
                 )
-            case messages.SaveSightings():
-                self.sightings = effect.sightings
+            case messages.SaveObservedStarts():
+                self.observed_starts = effect.observed_starts
 
 
-SAVES = (messages.SavePromise, messages.SaveRegister, messages.SaveSightings)
+SAVES = (
+    messages.SavePromise,
+    messages.SaveRegister,
+    messages.SaveObservedStarts,
+)
 
 
 class Network(NamedTuple):
@@ -112,7 +116,9 @@
             name, self._endpoint(name).address, disk.incarnation
         )
         nonce = f"{self.rng.getrandbits(32):08x}"
-        identity = messages.Identity(member, disk.starts, nonce, disk.sightings)
+        identity = messages.Identity(
+            member, disk.starts, nonce, disk.observed_starts
+        )
         rng = random.Random(self.rng.random())
         self.nodes[name] = self.node_class(
             identity, self.listed, disk.durable, rng
