--- a/hyssopfold/control/instance.py
+++ b/hyssopfold/control/instance.py
@@ -41,7 +41,7 @@
     ) -> None:
         """Write and sync what was seen of others."""
 
-    def save_all(self, durable: messages.Durable) -> None:
+    def save_all(self, durable: messages.DurableState) -> None:
         """Write and sync all votes."""
 
 
@@ -210,7 +210,7 @@
             return
         self._mend_at = None
         logger.info(logs.Event("storage-mended"))
-        await self._handle(messages.StorageMended())
+        await self._handle(messages.StorageRecovered())
 
     async def _next_event(self) -> messages.Event:
         now = trio.current_time()
@@ -309,7 +309,7 @@
 
 
 @_carry.register
-async def _(effect: messages.Faulted, instance: Instance) -> None:
+async def _(effect: messages.FaultChanged, instance: Instance) -> None:
     if effect.fault:
         logger.warning(logs.Event("not-voting", reason=effect.fault))
     else:
--- a/hyssopfold/core/consensus/acceptor.py
+++ b/hyssopfold/core/consensus/acceptor.py
@@ -13,7 +13,7 @@
         durable: What storage holds, or the blank state.
     """
 
-    def __init__(self, durable: messages.Durable) -> None:
+    def __init__(self, durable: messages.DurableState) -> None:
         self.durable = durable
 
     def prepare(
@@ -48,7 +48,7 @@
                 register == held.register, "one register under one ballot"
             )
             return None, messages.Accepted(ballot)
-        self._replace(messages.Durable(ballot, ballot, register))
+        self._replace(messages.DurableState(ballot, ballot, register))
         save = messages.SaveRegister(ballot, register)
         return save, messages.Accepted(ballot)
 
@@ -83,7 +83,7 @@
         if ballot <= held.accepted:
             return None
         promised = max(held.promised, ballot)
-        self._replace(messages.Durable(promised, ballot, register))
+        self._replace(messages.DurableState(promised, ballot, register))
         return messages.SaveRegister(ballot, register)
 
     def _is_same_cluster(self, cluster: str) -> bool:
@@ -92,7 +92,7 @@
         mine = self.durable.register.cluster
         return not mine or mine == cluster
 
-    def _replace(self, new: messages.Durable) -> None:
+    def _replace(self, new: messages.DurableState) -> None:
         held = self.durable
         invariants.check(new.promised >= held.promised, "promises only go up")
         invariants.check(new.accepted >= held.accepted, "accepts only go up")
--- a/hyssopfold/core/consensus/messages.py
+++ b/hyssopfold/core/consensus/messages.py
@@ -105,7 +105,7 @@
 BLANK_REGISTER = Register()
 
 
-class Durable(NamedTuple):
+class DurableState(NamedTuple):
     """What an acceptor must have synced before it answers."""
 
     promised: Ballot = NO_BALLOT
@@ -349,11 +349,11 @@
     detail: str
 
 
-class StorageMended(NamedTuple):
+class StorageRecovered(NamedTuple):
     """Event: all that `Node.durable` holds is written and synced again."""
 
 
-Event = Operation | Received | Tick | StorageFailed | StorageMended
+Event = Operation | Received | Tick | StorageFailed | StorageRecovered
 
 
 class SavePromise(NamedTuple):
@@ -388,7 +388,7 @@
     register: Register
 
 
-class Faulted(NamedTuple):
+class FaultChanged(NamedTuple):
     """Effect: say that this instance does not vote, and why ("": it does)."""
 
     fault: str
@@ -460,6 +460,6 @@
     | SaveObservedStarts
     | Send
     | Learned
-    | Faulted
+    | FaultChanged
     | Reply
 )
--- a/hyssopfold/core/consensus/node.py
+++ b/hyssopfold/core/consensus/node.py
@@ -29,7 +29,7 @@
 # what it holds; it asks first, and writes nothing if a majority holds the same.
 _DISCOVERY_SETTLE_S = 0.05
 
-BLANK = messages.Durable()
+BLANK = messages.DurableState()
 
 Effects = list[messages.Effect]
 
@@ -54,7 +54,7 @@
         self,
         identity: messages.Identity,
         listed: Sequence[messages.Endpoint],
-        durable: messages.Durable,
+        durable: messages.DurableState,
         rng: random.Random,
         round_timeout_s: float = 1.0,
         operation_timeout_s: float = 8.0,
@@ -90,7 +90,7 @@
             self._settle_gap_s = _DISCOVERY_SETTLE_S
 
     @property
-    def durable(self) -> messages.Durable:
+    def durable(self) -> messages.DurableState:
         """Return what this member's acceptor has persisted."""
         return self.replica.acceptor.durable
 
@@ -136,7 +136,7 @@
         fault = self.fault
         if fault != self._told_fault:
             self._told_fault = fault
-            effects.append(messages.Faulted(fault))
+            effects.append(messages.FaultChanged(fault))
         if fault or self.replica.is_blank:
             # Left standing in the past, it would ask for a tick at once, for
             # ever: one that does not vote has nothing to settle.
@@ -372,7 +372,7 @@
         """Stop voting: what was decided last could not be synced."""
         self._storage_fault = f"its disk refuses writes: {detail}"
 
-    def mend_storage(self, effects: Effects) -> None:
+    def recover_storage(self, effects: Effects) -> None:
         """Vote again: all that this member holds is synced."""
         self._storage_fault = ""
         if self.replica.chosen.members:
@@ -420,6 +420,6 @@
 
 @_handle.register
 def _(
-    event: messages.StorageMended, node: Node, now: float, effects: Effects
+    event: messages.StorageRecovered, node: Node, now: float, effects: Effects
 ) -> None:
-    node.mend_storage(effects)
+    node.recover_storage(effects)
--- a/hyssopfold/core/consensus/replica.py
+++ b/hyssopfold/core/consensus/replica.py
@@ -14,7 +14,7 @@
     """
 
     def __init__(
-        self, identity: messages.Identity, durable: messages.Durable
+        self, identity: messages.Identity, durable: messages.DurableState
     ) -> None:
         self.identity = identity
         self.acceptor = acceptor.Acceptor(durable)
--- a/hyssopfold/storage/records.py
+++ b/hyssopfold/storage/records.py
@@ -86,7 +86,9 @@
         self._formed = False
         self._promised = messages.NO_BALLOT
 
-    def open(self, address: str) -> tuple[messages.Identity, messages.Durable]:
+    def open(
+        self, address: str
+    ) -> tuple[messages.Identity, messages.DurableState]:
         """Count one more start; return who this instance is and what it holds.
 
         Args:
@@ -138,7 +140,7 @@
         self._write(IDENTITY, identity)
         return identity
 
-    def _load(self) -> messages.Durable:
+    def _load(self) -> messages.DurableState:
         promise = self._require(PROMISE, Promise)
         register = self._read(REGISTER, Register)
         self._formed = register is not None
@@ -150,7 +152,7 @@
                 )
             register = Register("", messages.NO_BALLOT, messages.BLANK_REGISTER)
         self._promised = max(promise.promised, register.accepted)
-        return messages.Durable(
+        return messages.DurableState(
             self._promised, register.accepted, register.register
         )
 
@@ -189,7 +191,7 @@
             OBSERVED_STARTS, ObservedStarts(self._incarnation, observed_starts)
         )
 
-    def save_all(self, durable: messages.Durable) -> None:
+    def save_all(self, durable: messages.DurableState) -> None:
         """Write and sync all votes, after an earlier save failed.
 
         Raises:
--- a/tests/steps/core/consensus/node_steps.py
+++ b/tests/steps/core/consensus/node_steps.py
@@ -184,7 +184,7 @@
 
 @when('the disk of "{name}" has room again')
 def _(context, name):
-    context.members.mend_storage(name)
+    context.members.recover_storage(name)
 
 
 @when('a further instance "{name}" starts blank')
--- a/tests/steps/core/consensus/query_steps.py
+++ b/tests/steps/core/consensus/query_steps.py
@@ -31,7 +31,7 @@
     context.register = messages.Register(
         cluster="c", revision=revision, value=b"old", members=members
     )
-    durable = messages.Durable(_OLD, _OLD, context.register)
+    durable = messages.DurableState(_OLD, _OLD, context.register)
     identity = messages.Identity(members[0], 1, "n1")
     context.replica = replica.Replica(identity, durable)
     context.proposer = proposer.Proposer(
--- a/tests/support/fake_members.py
+++ b/tests/support/fake_members.py
@@ -33,7 +33,7 @@
                 self.durable = held._replace(promised=effect.promised)
             case messages.SaveRegister():
                 promised = max(held.promised, effect.accepted)
-                self.durable = messages.Durable(
+                self.durable = messages.DurableState(
                     promised, effect.accepted, effect.register
                 )
             case messages.SaveObservedStarts():
@@ -221,7 +221,7 @@
                 self.results[effect.request] = messages.OutcomeUnknown()
         self.submit(name, messages.StorageFailed("no space left on device"))
 
-    def mend_storage(self, name):
+    def recover_storage(self, name):
         """Make room on a full disk and let the member save all again."""
         disk = self.disks[name]
         disk.full = False
@@ -230,7 +230,7 @@
         if held.accepted != messages.NO_BALLOT:
             self._observe(name, register)
         self._observe(name, messages.SavePromise(held.promised))
-        self.submit(name, messages.StorageMended())
+        self.submit(name, messages.StorageRecovered())
 
     def _send(self, name, effect):
         self.sent += 1
--- a/tests/support/register_machine.py
+++ b/tests/support/register_machine.py
@@ -144,7 +144,7 @@
         """Make room again."""
         name = self._name(index)
         if name in self.members.nodes and name not in self.members.frozen:
-            self.members.mend_storage(name)
+            self.members.recover_storage(name)
 
     @stateful.rule(index=_INDEX)
     def lose_disk(self, index):
