--- a/hyssopfold/control/state_answers.py
+++ b/hyssopfold/control/state_answers.py
@@ -76,7 +76,9 @@
         now: Monotonic time in seconds.
     """
     register = node.learned
-    heard = {status.member.id: status for status in node.peers.statuses(now)}
+    heard = {
+        status.member.id: status for status in node.peers.recent_statuses(now)
+    }
     voters = {member.id: member for member in node.replica.register.voters()}
     others = {i: s.member for i, s in heard.items() if i not in voters}
     mine = node.replica.identity.member
--- a/hyssopfold/core/consensus/acceptor.py
+++ b/hyssopfold/core/consensus/acceptor.py
@@ -26,7 +26,7 @@
         ballot = prepare.ballot
         if ballot < held.promised:
             return None, messages.Refused(ballot, held.promised)
-        is_known = prepare.held == held.accepted
+        is_known = prepare.proposer_accepted == held.accepted
         register = messages.BLANK_REGISTER if is_known else held.register
         promise = messages.Promise(ballot, held.accepted, register)
         if ballot == held.promised:
--- a/hyssopfold/core/consensus/invariants.py
+++ b/hyssopfold/core/consensus/invariants.py
@@ -3,11 +3,11 @@
 from hyssopfold import errors
 
 
-def check(condition: bool, what: str) -> None:
+def check(condition: bool, invariant: str) -> None:
     """Raise if an invariant of the register is broken.
 
     Raises:
         InvariantError: naming the invariant.
     """
     if not condition:
-        raise errors.InvariantError(what)
+        raise errors.InvariantError(invariant)
--- a/hyssopfold/core/consensus/messages.py
+++ b/hyssopfold/core/consensus/messages.py
@@ -139,12 +139,12 @@
 class Prepare(NamedTuple):
     """Ask an acceptor to promise a ballot.
 
-    `held` is the ballot that the proposer has accepted itself.
+    `proposer_accepted` is the ballot that the proposer itself accepted last.
     """
 
     ballot: Ballot
     cluster: str
-    held: Ballot = NO_BALLOT
+    proposer_accepted: Ballot = NO_BALLOT
 
 
 class Promise(NamedTuple):
@@ -219,8 +219,8 @@
 class Status(NamedTuple):
     """What an instance tells the others of itself now and then.
 
-    `chosen` is the newest ballot that it knows to be chosen; `listed` the
-    control instances of its settings; `seen` what it has seen of the
+    `chosen` is the newest ballot that it knows to be chosen; `configured_names` the
+    control instances of its settings; `observed_start` what it has seen of the
     receiver; `ask` asks for a `Status` in return; `fault` says why it does not
     vote; `region` is where it runs, empty where nobody needs to know.
     """
@@ -233,8 +233,8 @@
     revision: int
     epoch: int
     cluster: str
-    listed: tuple[str, ...]
-    seen: ObservedStart | None
+    configured_names: tuple[str, ...]
+    observed_start: ObservedStart | None
     ask: bool
     fault: str
     region: str = ""
--- a/hyssopfold/core/consensus/node.py
+++ b/hyssopfold/core/consensus/node.py
@@ -20,8 +20,8 @@
 DISCOVERY_STATUS_S = 1.0
 # Chance with which each voter there proposes a change of members that is due:
 # of four voters one does within a word or two, and rarely do all.
-_TEND_CHANCE = 0.5
-_EAGER_STATUS_S = 0.1
+_MEMBER_CHANGE_PROBABILITY = 0.5
+_FIRST_STATUS_S = 0.1
 _FETCH_S = 1.0
 _SETTLE_S = 3.0
 _FIRST_SETTLE_S = 0.3
@@ -39,7 +39,7 @@
 
     Args:
         identity: Who this instance is, from its data folder.
-        listed: Control instances in the settings, this one included.
+        configured: Control instances in the settings, this one included.
         durable: What storage holds, or `BLANK`.
         rng: Source of jitter and of the cluster's id.
         round_timeout_s: Time for one round to reach a majority.
@@ -53,7 +53,7 @@
     def __init__(
         self,
         identity: messages.Identity,
-        listed: Sequence[messages.Endpoint],
+        configured: Sequence[messages.Endpoint],
         durable: messages.DurableState,
         rng: random.Random,
         round_timeout_s: float = 1.0,
@@ -68,7 +68,7 @@
         self.name = identity.member.name
         self.replica = replica_module.Replica(identity, durable)
         self.peers = peers_module.Peers(
-            self.replica, listed, first_start, region
+            self.replica, configured, first_start, region
         )
         self._rng = rng
         self._now = 0.0
@@ -77,17 +77,17 @@
             rng,
             round_timeout_s,
             operation_timeout_s,
-            functools.partial(peers_module.View, self.peers),
+            functools.partial(peers_module.PeerSnapshot, self.peers),
         )
         self._storage_fault = ""
-        self._told_fault = ""
+        self._reported_fault = ""
         self._status_at = 0.0
-        self._status_gap_s = _EAGER_STATUS_S
+        self._status_interval_s = _FIRST_STATUS_S
         self._fetch_at = 0.0
         self._settle_at: float | None = None
-        self._settle_gap_s = _FIRST_SETTLE_S
+        self._settle_delay_s = _FIRST_SETTLE_S
         if wanted_members:
-            self._settle_gap_s = _DISCOVERY_SETTLE_S
+            self._settle_delay_s = _DISCOVERY_SETTLE_S
 
     @property
     def durable(self) -> messages.DurableState:
@@ -134,8 +134,8 @@
 
     def _advance(self, now: float, effects: Effects) -> None:
         fault = self.fault
-        if fault != self._told_fault:
-            self._told_fault = fault
+        if fault != self._reported_fault:
+            self._reported_fault = fault
             effects.append(messages.FaultChanged(fault))
         if fault or self.replica.is_blank:
             # Left standing in the past, it would ask for a tick at once, for
@@ -151,7 +151,7 @@
             self._settle(now, effects)
             self.proposer.advance(now, effects)
         if now >= self._status_at:
-            self._tell_all(now, effects)
+            self._send_status_to_all(now, effects)
 
     def _settle(self, now: float, effects: Effects) -> None:
         """Finish what another proposer may have left half done.
@@ -164,9 +164,9 @@
             self._settle_at = None
             return
         if self._settle_at is None:
-            gap_s = self._settle_gap_s * self._rng.uniform(1.0, 2.0)
+            gap_s = self._settle_delay_s * self._rng.uniform(1.0, 2.0)
             self._settle_at = now + gap_s
-            self._settle_gap_s = _SETTLE_S
+            self._settle_delay_s = _SETTLE_S
         if now >= self._settle_at:
             self._settle_at = None
             if self.proposer.is_idle:
@@ -178,12 +178,12 @@
         promised = self.durable.promised
         if ballot <= promised:
             ballot = messages.Ballot(promised.counter + 1, self.replica.id)
-        members = self.peers.founders(now)
+        members = self.peers.initial_members(now)
         register = messages.Register(
             cluster=f"{self._rng.getrandbits(64):016x}", members=members
         )
         form = messages.Form(ballot, register)
-        self.proposer.observe(ballot.counter)
+        self.proposer.observe_counter(ballot.counter)
         self.replica.vote(form, effects)
         for member in members:
             if member.id != self.replica.id:
@@ -238,7 +238,9 @@
             case messages.Promise():
                 self.proposer.on_promise(sender, message, now, effects)
             case messages.Accepted():
-                self.peers.note_accepted(sender, message.ballot, message.nonce)
+                self.peers.record_accepted(
+                    sender, message.ballot, message.nonce
+                )
                 self.proposer.on_accepted(sender, message, now, effects)
             case messages.Refused():
                 self.proposer.on_refused(message, now)
@@ -256,7 +258,7 @@
         message: messages.Prepare | messages.Accept | messages.Form,
         effects: Effects,
     ) -> None:
-        self.proposer.observe(message.ballot.counter)
+        self.proposer.observe_counter(message.ballot.counter)
         answer = self.replica.vote(message, effects)
         if answer is not None:
             self._send(sender, answer, effects)
@@ -266,7 +268,7 @@
     ) -> None:
         if status.member.name == self.name:
             return
-        self.peers.hear(status, now, effects)
+        self.peers.record_status(status, now, effects)
         if status.ask:
             reply = self._status(status.member, ask=False)
             to = status.member.endpoint
@@ -278,9 +280,9 @@
             self._on_chosen(status.member.id, status.chosen, now, effects)
         if self.fault or not self.replica.is_voter:
             return
-        self._tend_members(status, now, effects)
+        self._propose_member_change(status, now, effects)
 
-    def _tend_members(
+    def _propose_member_change(
         self, status: messages.Status, now: float, effects: Effects
     ) -> None:
         """Admit who may take a vote, and dismiss who was replaced."""
@@ -290,11 +292,11 @@
         wanted = self._wanted_members
         if change is None and wanted:
             admission = self.peers.admission(status, wanted, now)
-            change = admission or self.peers.dismissal(wanted, now)
+            change = admission or self.peers.removal(wanted, now)
         # Any voter may do it; by lot, so that they do not all propose.
         chance = 1.0 / len(self.replica.register.members)
         if wanted:
-            chance = _TEND_CHANCE
+            chance = _MEMBER_CHANGE_PROBABILITY
         if change is not None and self._rng.random() < chance:
             self.submit(change, now, effects)
 
@@ -326,13 +328,15 @@
         if self.peers.stale or self._storage_fault:
             return
         self._fetch_at = 0.0
-        self.proposer.observe(install.ballot.counter)
+        self.proposer.observe_counter(install.ballot.counter)
         self.replica.install(install, effects)
         self._status_at = self._now
 
     def _status(self, to: messages.Member | None, ask: bool) -> messages.Status:
         identity = self.replica.identity
-        seen = self.peers.observed_start_of(to.id) if to is not None else None
+        observed_start = (
+            self.peers.observed_start_of(to.id) if to is not None else None
+        )
         # A vote that the disk refused is in memory alone: told, it would make
         # this folder look like an older copy after the next restart.
         is_synced = not self._storage_fault
@@ -346,26 +350,28 @@
             revision=self.replica.chosen.revision,
             epoch=self.replica.chosen.epoch,
             cluster=self.replica.register.cluster,
-            listed=self.peers.listed_names,
-            seen=seen,
+            configured_names=self.peers.configured_names,
+            observed_start=observed_start,
             ask=ask,
             fault=self.fault,
             region=self._region,
         )
 
-    def _tell_all(self, now: float, effects: Effects) -> None:
+    def _send_status_to_all(self, now: float, effects: Effects) -> None:
         is_eager = self.replica.is_blank or bool(self.fault)
-        known = {s.member.name: s.member for s in self.peers.statuses(now)}
+        known = {
+            s.member.name: s.member for s in self.peers.recent_statuses(now)
+        }
         for endpoint in self.peers.endpoints():
             status = self._status(known.get(endpoint.name), ask=is_eager)
             effects.append(messages.Send(endpoint, status))
         # Eager at first, then ever slower: an instance that stays blank or
         # faulty for days must not cost the others more than a healthy one.
         if is_eager:
-            gap_s = min(self._status_gap_s * 1.5, self._status_s)
+            gap_s = min(self._status_interval_s * 1.5, self._status_s)
         else:
             gap_s = self._status_s
-        self._status_gap_s = gap_s
+        self._status_interval_s = gap_s
         self._status_at = now + gap_s * self._rng.uniform(0.75, 1.0)
 
     def fail_storage(self, detail: str) -> None:
--- a/hyssopfold/core/consensus/operations.py
+++ b/hyssopfold/core/consensus/operations.py
@@ -12,7 +12,7 @@
 MAX_MEMBERS = 7
 
 
-class View(Protocol):
+class PeerView(Protocol):
     """What is known of the other instances at this moment."""
 
     def candidate(self, name: str) -> messages.Member | str:
@@ -23,11 +23,11 @@
     ) -> str:
         """Return why the instance should not vote beside the members, or ""."""
 
-    def majority_heard(self, members: Sequence[messages.Member]) -> bool:
+    def is_majority_reachable(self, members: Sequence[messages.Member]) -> bool:
         """Return whether a majority of `members` was heard of lately."""
 
 
-class Outcome(NamedTuple):
+class OperationOutcome(NamedTuple):
     """The register after an operation and its result.
 
     A result of None means that another round is needed: a change of members
@@ -42,8 +42,8 @@
 def apply(
     operation: messages.Operation,
     register: messages.Register,
-    view: View,
-) -> Outcome:
+    view: PeerView,
+) -> OperationOutcome:
     """Return what `operation` makes of `register`.
 
     Applying an operation again gives the first result again.
@@ -55,44 +55,46 @@
 def _(
     operation: messages.Read,
     register: messages.Register,
-    view: View,
-) -> Outcome:
-    return Outcome(register, messages.ReadDone(register))
+    view: PeerView,
+) -> OperationOutcome:
+    return OperationOutcome(register, messages.ReadDone(register))
 
 
 @apply.register
 def _(
     operation: messages.Edit,
     register: messages.Register,
-    view: View,
-) -> Outcome:
+    view: PeerView,
+) -> OperationOutcome:
     earlier = register.accepted_change(operation.change_id)
     if earlier is not None:
         if earlier.digest != operation.digest:
             reused = messages.ChangeIdReused(earlier.revision)
-            return Outcome(register, reused)
-        return Outcome(register, messages.EditAccepted(earlier.revision))
+            return OperationOutcome(register, reused)
+        return OperationOutcome(
+            register, messages.EditAccepted(earlier.revision)
+        )
     if operation.expect != register.revision:
         winner = register.winner_after(operation.expect)
         conflict = messages.EditConflict(register.revision, winner)
-        return Outcome(register, conflict)
+        return OperationOutcome(register, conflict)
     revision = max(register.revision + 1, operation.floor)
     change = messages.Change(operation.change_id, revision, operation.digest)
     changes = (*register.changes, change)[-MAX_CHANGES:]
     new = register._replace(
         revision=revision, value=operation.value, changes=changes
     )
-    return Outcome(new, messages.EditAccepted(revision))
+    return OperationOutcome(new, messages.EditAccepted(revision))
 
 
 @apply.register
 def _(
     operation: messages.AddMember,
     register: messages.Register,
-    view: View,
-) -> Outcome:
+    view: PeerView,
+) -> OperationOutcome:
     if register.member(operation.name) is not None:
-        return _members_stand(register)
+        return _members_unchanged(register)
     if len(register.members) >= MAX_MEMBERS:
         return _refuse(register, f"there are {MAX_MEMBERS} members already")
     new = view.candidate(operation.name)
@@ -104,68 +106,70 @@
         )
         if rejection_reason:
             return _refuse(register, rejection_reason)
-    return _change(register, (*register.members, new), register.retired)
+    return _change_members(register, (*register.members, new), register.retired)
 
 
 @apply.register
 def _(
     operation: messages.RemoveMember,
     register: messages.Register,
-    view: View,
-) -> Outcome:
+    view: PeerView,
+) -> OperationOutcome:
     old = register.member(operation.name)
     if old is None:
-        return _members_stand(register)
+        return _members_unchanged(register)
     members = tuple(m for m in register.members if m != old)
     if not members:
         return _refuse(register, "the last member cannot be removed")
-    if not view.majority_heard(members):
+    if not view.is_majority_reachable(members):
         # Nothing could be decided any more until one of them came back.
         return _refuse(register, "no majority of those that stay answers")
     retired = register.retired
     if operation.retires:
         retired = _retire(register, old.id)
-    return _change(register, members, retired)
+    return _change_members(register, members, retired)
 
 
 @apply.register
 def _(
     operation: messages.ReplaceMember,
     register: messages.Register,
-    view: View,
-) -> Outcome:
+    view: PeerView,
+) -> OperationOutcome:
     ids = [member.id for member in register.members]
     if operation.old_id not in ids:
-        return _members_stand(register)
+        return _members_unchanged(register)
     members = tuple(
         operation.new if member.id == operation.old_id else member
         for member in register.members
     )
-    return _change(register, members, _retire(register, operation.old_id))
+    return _change_members(
+        register, members, _retire(register, operation.old_id)
+    )
 
 
-def _members_stand(register: messages.Register) -> Outcome:
+def _members_unchanged(register: messages.Register) -> OperationOutcome:
     result = messages.MembersChanged(register.epoch, register.members)
-    return Outcome(register, result)
+    return OperationOutcome(register, result)
 
 
-def _refuse(register: messages.Register, reason: str) -> Outcome:
-    return Outcome(register, messages.EditNotAccepted(reason))
+def _refuse(register: messages.Register, reason: str) -> OperationOutcome:
+    return OperationOutcome(register, messages.EditNotAccepted(reason))
 
 
 def _retire(register: messages.Register, old_id: str) -> tuple[str, ...]:
     return (*register.retired, old_id)[-MAX_RETIRED:]
 
 
-def _change(
+def _change_members(
     register: messages.Register,
     members: tuple[messages.Member, ...],
     retired: tuple[str, ...],
-) -> Outcome:
+) -> OperationOutcome:
     new = register._replace(
         epoch=register.epoch + 1,
         members=members,
         previous=register.members,
         retired=retired,
     )
-    return Outcome(new, None)
+    return OperationOutcome(new, None)
--- a/hyssopfold/core/consensus/peers.py
+++ b/hyssopfold/core/consensus/peers.py
@@ -8,12 +8,12 @@
 from hyssopfold.core.consensus import replica as replica_module
 from hyssopfold.core.consensus import voter_selection
 
-SILENT_S = 5.0
+RECENT_S = 5.0
 # Seconds without a word, of which one is due every second where instances
 # find each other. One missed is enough to let a newcomer vote beside a member
 # that may be lost, which costs nothing if it is not; five are asked for before
 # a member's vote is taken for good.
-ABSENT_S = 1.6
+SUSPECT_S = 1.6
 LOST_S = 6.0
 MAX_OBSERVED_STARTS = 32
 
@@ -31,7 +31,7 @@
 )
 
 
-class _Heard(NamedTuple):
+class _ReceivedStatus(NamedTuple):
     status: messages.Status
     at: float
 
@@ -41,7 +41,7 @@
 
     Args:
         replica: What this member holds and knows.
-        listed: Control instances in the settings, this one included.
+        configured: Control instances in the settings, this one included.
         first_start: Whether a cluster may be formed where all are blank.
         region: Region that this instance runs in.
     """
@@ -49,17 +49,17 @@
     def __init__(
         self,
         replica: replica_module.Replica,
-        listed: Sequence[messages.Endpoint],
+        configured: Sequence[messages.Endpoint],
         first_start: bool = True,
         region: str = "",
     ) -> None:
         self._replica = replica
         self.first_start = first_start
         self._region = region
-        self._listed = tuple(sorted(listed))
-        self._heard: dict[str, _Heard] = {}
+        self._configured = tuple(sorted(configured))
+        self._received: dict[str, _ReceivedStatus] = {}
         # Since when a member that was never heard of is waited for.
-        self._since: dict[str, float] = {}
+        self._awaited_since: dict[str, float] = {}
         identity = replica.identity
         self._observed_starts = {
             s.member_id: s for s in identity.observed_starts
@@ -68,25 +68,25 @@
         self.stale = False
 
     @property
-    def listed_names(self) -> tuple[str, ...]:
+    def configured_names(self) -> tuple[str, ...]:
         """Return the names in the settings, sorted."""
-        return tuple(endpoint.name for endpoint in self._listed)
+        return tuple(endpoint.name for endpoint in self._configured)
 
-    def statuses(self, now: float) -> list[messages.Status]:
+    def recent_statuses(self, now: float) -> list[messages.Status]:
         """Return the words of those heard of lately."""
         return [
-            heard.status
-            for heard in self._heard.values()
-            if now - heard.at <= SILENT_S
+            received.status
+            for received in self._received.values()
+            if now - received.at <= RECENT_S
         ]
 
     def endpoints(self) -> list[messages.Endpoint]:
         """Return all other instances that are worth talking to."""
-        found = {endpoint.name: endpoint for endpoint in self._listed}
+        found = {endpoint.name: endpoint for endpoint in self._configured}
         for voter in self._replica.register.voters():
             found[voter.name] = voter.endpoint
-        for name, heard in self._heard.items():
-            found[name] = heard.status.member.endpoint
+        for name, received in self._received.items():
+            found[name] = received.status.member.endpoint
         found.pop(self._replica.identity.member.name, None)
         return list(found.values())
 
@@ -104,7 +104,7 @@
         """Return what was seen of a member."""
         return self._observed_starts.get(member_id)
 
-    def note_accepted(
+    def record_accepted(
         self, member_id: str, accepted: messages.Ballot, nonce: str
     ) -> None:
         """Remember a vote, so that a folder without it is known as a copy."""
@@ -113,24 +113,24 @@
             newest = max(known.accepted, accepted)
             self._observed_starts[member_id] = known._replace(accepted=newest)
 
-    def hear(
+    def record_status(
         self,
         status: messages.Status,
         now: float,
         effects: list[messages.Effect],
     ) -> None:
         """Take in the word of another instance."""
-        self._heard[status.member.name] = _Heard(status, now)
-        self._note_start(status, effects)
-        self._judge_self(status)
+        self._received[status.member.name] = _ReceivedStatus(status, now)
+        self._record_start(status, effects)
+        self._check_own_start(status)
 
-    def _note_start(
+    def _record_start(
         self, status: messages.Status, effects: list[messages.Effect]
     ) -> None:
         member_id = status.member.id
         known = self._observed_starts.get(member_id)
         if known is not None and known.nonce == status.nonce:
-            self.note_accepted(member_id, status.accepted, status.nonce)
+            self.record_accepted(member_id, status.accepted, status.nonce)
             return
         if known is not None and _is_older(status, known):
             return
@@ -143,20 +143,23 @@
         observed_starts = tuple(self._observed_starts.values())
         effects.append(messages.SaveObservedStarts(observed_starts))
 
-    def _judge_self(self, status: messages.Status) -> None:
+    def _check_own_start(self, status: messages.Status) -> None:
         """Learn from what the other has seen of this instance."""
-        seen = status.seen
+        observed_start = status.observed_start
         identity = self._replica.identity
-        if seen is None or seen.member_id != self._replica.id:
+        if (
+            observed_start is None
+            or observed_start.member_id != self._replica.id
+        ):
             return
-        if seen.nonce == identity.nonce:
+        if observed_start.nonce == identity.nonce:
             self._confirmed_by |= {status.member.id, status.member.name}
             return
         # Put back from a copy, the folder lacks votes that others rely on;
         # voting on would let a majority forget an accepted edit.
-        if seen.starts >= identity.starts:
+        if observed_start.starts >= identity.starts:
             self.stale = True
-        if seen.accepted > self._replica.first_accepted:
+        if observed_start.accepted > self._replica.accepted_at_start:
             self.stale = True
 
     def is_confirmed(self) -> bool:
@@ -170,7 +173,7 @@
                 for voter in voters
             )
             return known > len(voters) // 2
-        names = self.listed_names
+        names = self.configured_names
         me = self._replica.identity.member.name
         known = sum(name in self._confirmed_by or name == me for name in names)
         return known > len(names) // 2
@@ -185,29 +188,31 @@
         if is_retired and self._replica.id not in voters:
             return RETIRED
         mine = self._replica.register.cluster
-        others = [heard.status.cluster for heard in self._heard.values()]
+        others = [
+            received.status.cluster for received in self._received.values()
+        ]
         foreign = sum(bool(other) and other != mine for other in others)
-        if mine and foreign > len(self._listed) // 2:
+        if mine and foreign > len(self._configured) // 2:
             return OTHER_CLUSTER
         return "" if self.is_confirmed() else CONFIRMING
 
-    def majority_heard(
+    def is_majority_reachable(
         self, members: Sequence[messages.Member], now: float
     ) -> bool:
         """Return whether a majority of `members` was heard of lately."""
-        heard = {status.member.id for status in self.statuses(now)}
-        heard.add(self._replica.id)
-        return quorums.has_majority(members, heard)
+        received = {status.member.id for status in self.recent_statuses(now)}
+        received.add(self._replica.id)
+        return quorums.has_majority(members, received)
 
     def may_form(self, now: float) -> bool:
         """Return whether this instance forms the cluster.
 
-        All that are listed must say that they are blank, and the first by
+        All configured instances must say that they are blank, and the first by
         name alone forms: a blank disk beside others with data, or two that
         begin at once, can never make a second cluster.
         """
         me = self._replica.identity.member.name
-        names = self.listed_names
+        names = self.configured_names
         if not self._replica.is_blank or not names or names[0] != me:
             return False
         if not self.first_start:
@@ -216,25 +221,27 @@
             return False
         blank = {
             status.member.name
-            for status in self.statuses(now)
-            if status.blank and not status.fault and status.listed == names
+            for status in self.recent_statuses(now)
+            if status.blank
+            and not status.fault
+            and status.configured_names == names
         }
         return set(names) - {me} <= blank
 
-    def founders(self, now: float) -> tuple[messages.Member, ...]:
+    def initial_members(self, now: float) -> tuple[messages.Member, ...]:
         """Return the members of the cluster that is to be formed."""
-        names = self.listed_names
+        names = self.configured_names
         members = [self._replica.identity.member]
         members += [
             status.member
-            for status in self.statuses(now)
+            for status in self.recent_statuses(now)
             if status.member.name in names
         ]
         return tuple(sorted(members))
 
     def candidate(self, name: str, now: float) -> messages.Member | str:
         """Return the instance called `name` if it has caught up, else why not."""
-        for status in self.statuses(now):
+        for status in self.recent_statuses(now):
             if status.member.name != name:
                 continue
             if status.fault:
@@ -277,7 +284,7 @@
         """Return how to let a caught-up newcomer vote, if one is wanted.
 
         A lost member's place is taken at once, by a newcomer under another
-        name; the lost one goes once the newcomer votes (see `dismissal`).
+        name; the lost one goes once the newcomer votes (see `removal`).
 
         Args:
             status: The newcomer's word.
@@ -305,19 +312,19 @@
         region offers one, any voter is better than one too few.
         """
         selection = voter_selection.VoterSelection(
-            register.members, self._regions(), set(self._silent(ABSENT_S, now))
+            register.members,
+            self._regions(),
+            set(self._silent_members(SUSPECT_S, now)),
         )
         region = self._regions().get(name, "")
         others = [
             status.region
-            for status in self.statuses(now)
+            for status in self.recent_statuses(now)
             if not status.fault and register.member(status.member.name) is None
         ]
         return selection.rejection_reason(region, others, wanted)
 
-    def dismissal(
-        self, wanted: int, now: float
-    ) -> messages.RemoveMember | None:
+    def removal(self, wanted: int, now: float) -> messages.RemoveMember | None:
         """Return how to take a vote beyond `wanted`: a lost member's first.
 
         It is not retired: it may have been cut off or frozen and hold its
@@ -327,10 +334,10 @@
         members = self._replica.register.members
         if len(members) <= wanted:
             return None
-        silent = self._silent(LOST_S, now)
+        silent = self._silent_members(LOST_S, now)
         if silent:
             return messages.RemoveMember(0, silent[0], retires=False)
-        if self._silent(ABSENT_S, now):
+        if self._silent_members(SUSPECT_S, now):
             # It is lost, or back soon: known before long.
             return None
         selection = voter_selection.VoterSelection(
@@ -345,28 +352,29 @@
         """Return the region of each instance that was heard of."""
         me = self._replica.identity.member.name
         return {me: self._region} | {
-            name: heard.status.region for name, heard in self._heard.items()
+            name: received.status.region
+            for name, received in self._received.items()
         }
 
-    def _silent(self, silent_s: float, now: float) -> list[str]:
+    def _silent_members(self, silent_s: float, now: float) -> list[str]:
         """Return the names of members not heard of for so many seconds."""
         me = self._replica.identity.member.name
         return [
             member.name
             for member in self._replica.register.members
             if member.name != me
-            and now - self._heard_at(member, now) > silent_s
+            and now - self._last_received_at(member, now) > silent_s
         ]
 
-    def _heard_at(self, member: messages.Member, now: float) -> float:
+    def _last_received_at(self, member: messages.Member, now: float) -> float:
         """Return when a member was heard of, at the start if never."""
-        heard = self._heard.get(member.name)
-        if heard is not None and heard.status.member.id == member.id:
-            return heard.at
-        return self._since.setdefault(member.id, now)
+        received = self._received.get(member.name)
+        if received is not None and received.status.member.id == member.id:
+            return received.at
+        return self._awaited_since.setdefault(member.id, now)
 
 
-class View:
+class PeerSnapshot:
     """What is known of the other instances at one moment.
 
     Args:
@@ -388,9 +396,9 @@
         """Return why the instance should not vote beside the members."""
         return self._peers.rejection_reason(register, name, wanted, self._now)
 
-    def majority_heard(self, members: Sequence[messages.Member]) -> bool:
+    def is_majority_reachable(self, members: Sequence[messages.Member]) -> bool:
         """Return whether a majority of `members` was heard of lately."""
-        return self._peers.majority_heard(members, self._now)
+        return self._peers.is_majority_reachable(members, self._now)
 
 
 def _is_older(status: messages.Status, known: messages.ObservedStart) -> bool:
--- a/hyssopfold/core/consensus/proposer.py
+++ b/hyssopfold/core/consensus/proposer.py
@@ -10,7 +10,7 @@
 from hyssopfold.core.consensus import quorums
 from hyssopfold.core.consensus import replica as replica_module
 
-MAX_WAITING = 256
+MAX_PENDING = 256
 _BACKOFF_S = 0.05
 _MAX_BACKOFF_S = 1.0
 
@@ -20,7 +20,7 @@
 Effects = list[messages.Effect]
 
 
-class _Waiting:
+class _PendingOperation:
     """An operation that waits, or is under way."""
 
     def __init__(self, operation: messages.Operation, deadline: float) -> None:
@@ -30,7 +30,7 @@
         self.failed_rounds = 0
         # An Accept that went out may take effect at any later time.
         self.proposed = False
-        self.strong = False
+        self.needs_round = False
 
 
 class _Round:
@@ -52,7 +52,7 @@
         self.asked: set[str] = set()
         self.promises: dict[str, messages.Promise] = {}
         self.accepts: set[str] = set()
-        self.outcome: operations.Outcome | None = None
+        self.outcome: operations.OperationOutcome | None = None
 
 
 class _Query:
@@ -85,7 +85,7 @@
         rng: random.Random,
         round_timeout_s: float,
         operation_timeout_s: float,
-        view: Callable[[float], operations.View],
+        view: Callable[[float], operations.PeerView],
     ) -> None:
         self._replica = replica
         self._rng = rng
@@ -94,8 +94,8 @@
         self._view = view
         self._counter = replica.acceptor.durable.promised.counter
         self._queries = 0
-        self._waiting: deque[_Waiting] = deque()
-        self._current: _Waiting | None = None
+        self._pending: deque[_PendingOperation] = deque()
+        self._current: _PendingOperation | None = None
         self._round: _Round | None = None
         self._query: _Query | None = None
         self._retry_at = 0.0
@@ -103,18 +103,18 @@
     @property
     def is_idle(self) -> bool:
         """Return whether no operation waits or is under way."""
-        return self._current is None and not self._waiting
+        return self._current is None and not self._pending
 
     def submit(
         self, operation: messages.Operation, now: float, effects: Effects
     ) -> None:
         """Let `operation` wait for its rounds."""
-        if len(self._waiting) >= MAX_WAITING:
+        if len(self._pending) >= MAX_PENDING:
             result = messages.EditNotAccepted("too many operations wait")
             _reply([operation.request], result, effects)
             return
         deadline = now + self._operation_timeout_s
-        self._waiting.append(_Waiting(operation, deadline))
+        self._pending.append(_PendingOperation(operation, deadline))
 
     def next_deadline(self) -> float | None:
         """Return when `advance` is due at the latest, in seconds."""
@@ -127,77 +127,79 @@
             due = self._query.expires
         return min(due, self._current.deadline)
 
-    def observe(self, counter: int) -> None:
+    def observe_counter(self, counter: int) -> None:
         """Take note of a ballot's counter, so that the next one is higher."""
         self._counter = max(self._counter, counter)
 
     def refuse_all(self, reason: str, effects: Effects) -> None:
         """Answer all operations: this member can settle none of them."""
         if self._current is not None:
-            self._finish(self._given_up(reason), effects)
-        while self._waiting:
-            waiting = self._waiting.popleft()
+            self._finish(self._failure_result(reason), effects)
+        while self._pending:
+            pending = self._pending.popleft()
             result = messages.EditNotAccepted(reason)
-            _reply(waiting.requests, result, effects)
+            _reply(pending.requests, result, effects)
 
     def advance(self, now: float, effects: Effects) -> None:
         """Expire, retry or begin operations as far as time allows."""
-        self._expire_waiting(now, effects)
+        self._expire_pending(now, effects)
         self._expire_current(now, effects)
-        while self._current is None and self._waiting:
+        while self._current is None and self._pending:
             self._begin(now)
-            self._step(now, effects)
-        self._step(now, effects)
+            self._start_attempt(now, effects)
+        self._start_attempt(now, effects)
 
-    def _expire_waiting(self, now: float, effects: Effects) -> None:
-        while self._waiting and now >= self._waiting[0].deadline:
-            waiting = self._waiting.popleft()
+    def _expire_pending(self, now: float, effects: Effects) -> None:
+        while self._pending and now >= self._pending[0].deadline:
+            pending = self._pending.popleft()
             result = messages.EditNotAccepted("others were served first")
-            _reply(waiting.requests, result, effects)
+            _reply(pending.requests, result, effects)
 
     def _expire_current(self, now: float, effects: Effects) -> None:
         current = self._current
         if current is None:
             return
         if now >= current.deadline:
-            self._finish(self._given_up(_NO_MAJORITY), effects)
+            self._finish(self._failure_result(_NO_MAJORITY), effects)
             return
-        pending = self._round or self._query
-        if pending is None or now < pending.expires:
+        attempt = self._round or self._query
+        if attempt is None or now < attempt.expires:
             return
-        if not current.proposed and not self._is_majority_heard(now):
+        if not current.proposed and not self._is_majority_reachable(now):
             # Certain already: waiting on would only hold the refusal back.
             self._finish(messages.EditNotAccepted(_NO_MAJORITY), effects)
             return
-        current.strong = True
+        current.needs_round = True
         self._schedule_retry(now)
 
-    def _is_majority_heard(self, now: float) -> bool:
-        return self._view(now).majority_heard(self._replica.register.members)
+    def _is_majority_reachable(self, now: float) -> bool:
+        return self._view(now).is_majority_reachable(
+            self._replica.register.members
+        )
 
-    def _given_up(self, reason: str) -> messages.Result:
+    def _failure_result(self, reason: str) -> messages.Result:
         assert self._current is not None
         if self._current.proposed:
             return messages.OutcomeUnknown()
         return messages.EditNotAccepted(reason)
 
     def _begin(self, now: float) -> None:
-        current = self._waiting.popleft()
+        current = self._pending.popleft()
         self._current = current
         self._retry_at = now
         if not isinstance(current.operation, messages.Read):
             return
         # One round answers all reads that wait: each began before it.
         others = [
-            waiting
-            for waiting in self._waiting
-            if isinstance(waiting.operation, messages.Read)
+            pending
+            for pending in self._pending
+            if isinstance(pending.operation, messages.Read)
         ]
-        for waiting in others:
-            current.requests += waiting.requests
-            self._waiting.remove(waiting)
+        for pending in others:
+            current.requests += pending.requests
+            self._pending.remove(pending)
 
-    def _step(self, now: float, effects: Effects) -> None:
+    def _start_attempt(self, now: float, effects: Effects) -> None:
         current = self._current
         if current is None or self._round is not None:
             return
@@ -206,7 +208,7 @@
         is_read = isinstance(current.operation, messages.Read)
         if (
             is_read
-            and not current.strong
+            and not current.needs_round
             and not self._replica.register.previous
         ):
             self._begin_query(now, effects)
@@ -216,7 +218,7 @@
             # A round needs a ballot that is synced before it is used, which
             # is the vote of its proposer. A question needs none: a majority
             # that holds what this instance holds makes it the newest.
-            self._finish(self._given_up(NOT_A_VOTER), effects)
+            self._finish(self._failure_result(NOT_A_VOTER), effects)
 
     def _begin_query(self, now: float, effects: Effects) -> None:
         self._queries += 1
@@ -248,28 +250,28 @@
         if self._replica.accepted != query.ballot:
             # Who answered that it holds the ballot of before says nothing of
             # the one accepted since: both counted as one make no majority.
-            self._escalate(now)
+            self._replace_query_with_round(now)
             return
         query.answered.add(sender)
         register = self._replica.register
         if answer.accepted == query.ballot:
             query.same.add(sender)
         if quorums.satisfied(register, query.same):
-            self._note_chosen(query.ballot, register, effects)
+            self._record_chosen(query.ballot, register, effects)
             self._finish(messages.ReadDone(register), effects)
             return
         asked = {voter.id for voter in register.voters()}
         if answer.accepted > query.ballot or asked <= query.answered:
-            self._escalate(now)
+            self._replace_query_with_round(now)
 
-    def _escalate(self, now: float) -> None:
+    def _replace_query_with_round(self, now: float) -> None:
         assert self._current is not None
         self._query = None
-        self._current.strong = True
+        self._current.needs_round = True
         self._retry_at = now
 
     def _begin_round(self, now: float, effects: Effects) -> None:
-        self.observe(self._replica.acceptor.durable.promised.counter)
+        self.observe_counter(self._replica.acceptor.durable.promised.counter)
         self._counter += 1
         ballot = messages.Ballot(self._counter, self._replica.id)
         accepted = self._replica.accepted
@@ -339,18 +341,20 @@
         ids = current.promises.keys()
         if not quorums.satisfied(current.base, ids, current.base_is_chosen):
             return
-        if not quorums.satisfied(newest.register, ids, self._knows(newest)):
+        if not quorums.satisfied(
+            newest.register, ids, self._is_known_chosen(newest)
+        ):
             self._prepare(newest.register, now, effects)
             return
         self._propose(newest, now, effects)
 
-    def _knows(self, promise: messages.Promise) -> bool:
+    def _is_known_chosen(self, promise: messages.Promise) -> bool:
         return promise.accepted == self._replica.chosen_ballot
 
     def _is_chosen(self, newest: messages.Promise) -> bool:
         """Return whether what `newest` accepted is known to be chosen."""
         assert self._round is not None
-        if self._knows(newest):
+        if self._is_known_chosen(newest):
             return True
         same = {
             sender
@@ -370,7 +374,7 @@
             # A change of members that may or may not have been decided is
             # decided first. Built upon at once, two such changes in a row
             # could leave majorities that share no member.
-            outcome = operations.Outcome(held, None)
+            outcome = operations.OperationOutcome(held, None)
         else:
             base = held._replace(previous=())
             operation = self._current.operation
@@ -379,7 +383,7 @@
                 self._current.proposed = True
         self._round.outcome = outcome
         if outcome.register == held and is_chosen:
-            self._note_chosen(newest.accepted, held, effects)
+            self._record_chosen(newest.accepted, held, effects)
             assert outcome.result is not None
             self._finish(outcome.result, effects)
             return
@@ -417,15 +421,15 @@
         register, result = current.outcome
         if not quorums.satisfied(register, current.accepts):
             return
-        self._note_chosen(current.ballot, register, effects)
+        self._record_chosen(current.ballot, register, effects)
         if result is None:
             self._round = None
             self._retry_at = now
-            self._step(now, effects)
+            self._start_attempt(now, effects)
             return
         self._finish(result, effects)
 
-    def _note_chosen(
+    def _record_chosen(
         self,
         ballot: messages.Ballot,
         register: messages.Register,
@@ -442,7 +446,7 @@
 
     def on_refused(self, refused: messages.Refused, now: float) -> None:
         """Give the round up in favour of a higher ballot."""
-        self.observe(refused.promised.counter)
+        self.observe_counter(refused.promised.counter)
         if self._round is not None and refused.ballot == self._round.ballot:
             self._schedule_retry(now)
 
--- a/hyssopfold/core/consensus/replica.py
+++ b/hyssopfold/core/consensus/replica.py
@@ -20,7 +20,7 @@
         self.acceptor = acceptor.Acceptor(durable)
         self.chosen_ballot = messages.NO_BALLOT
         self.chosen = messages.BLANK_REGISTER
-        self.first_accepted = durable.accepted
+        self.accepted_at_start = durable.accepted
 
     @property
     def id(self) -> str:
--- a/tests/steps/core/consensus/query_steps.py
+++ b/tests/steps/core/consensus/query_steps.py
@@ -15,7 +15,7 @@
 
 
 class _View:
-    def majority_heard(self, members):
+    def is_majority_reachable(self, members):
         return True
 
 
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -20,10 +20,10 @@
         self._seeds = seeds
         super().__init__(count, seed, node_class=self._make)
 
-    def _make(self, identity, listed, durable, rng):
+    def _make(self, identity, configured, durable, rng):
         return node.Node(
             identity,
-            listed[: self._seeds],
+            configured[: self._seeds],
             durable,
             rng,
             first_start=self.first_start,
--- a/tests/support/fake_members.py
+++ b/tests/support/fake_members.py
@@ -81,7 +81,7 @@
         self.network = network
         self.node_class = node_class
         self.names = names or [f"control-{n}" for n in range(1, count + 1)]
-        self.listed = [self._endpoint(name) for name in self.names]
+        self.configured = [self._endpoint(name) for name in self.names]
         self.cut = set()
         self.frozen = {}
         self.now = 0.0
@@ -121,7 +121,7 @@
         )
         rng = random.Random(self.rng.random())
         self.nodes[name] = self.node_class(
-            identity, self.listed, disk.durable, rng
+            identity, self.configured, disk.durable, rng
         )
         self._tick_later(name)
 
@@ -143,7 +143,7 @@
     def add_instance(self, name):
         """Start a further instance on a blank disk."""
         self.names.append(name)
-        self.listed = [*self.listed, self._endpoint(name)]
+        self.configured = [*self.configured, self._endpoint(name)]
         self.disks[name] = self._blank_disk()
         self.start(name)
 
