--- a/hyssopfold/core/consensus/invariants.py
+++ b/hyssopfold/core/consensus/invariants.py
@@ -1,4 +1,4 @@
-"""Checks that stop a member before it acts on a broken state."""
+"""Check invariants, so that a member stops before acting on a bad state."""
 
 from hyssopfold import errors
 
@@ -7,7 +7,7 @@
     """Raise if an invariant of the register is broken.
 
     Raises:
-        InvariantError: naming the invariant.
+        InvariantError: if `condition` is false; it names the invariant.
     """
     if not condition:
         raise errors.InvariantError(invariant)
--- a/hyssopfold/core/consensus/messages.py
+++ b/hyssopfold/core/consensus/messages.py
@@ -1,13 +1,17 @@
-"""Messages, events and effects of the replicated register."""
+"""Define the messages, events and effects of the replicated register.
+
+The tuples are sent and stored as arrays in the order of their fields.
+"""
 
 from typing import NamedTuple
 
 
 class Ballot(NamedTuple):
-    """A proposer's number; ballots are ordered and never used twice.
+    """A proposal number; ballots are totally ordered and never reused.
 
-    `node` is the proposer's `Member.id`: it holds the incarnation, so that an
-    instance that lost its disk, and with it its counter, never reuses one.
+    `node` is the proposer's `Member.id`. The id contains the incarnation, so
+    an instance that lost its disk, and with it its counter, cannot reuse a
+    ballot.
     """
 
     counter: int
@@ -18,7 +22,7 @@
 
 
 class Endpoint(NamedTuple):
-    """Where a control instance is reached."""
+    """Name and network address of a control instance."""
 
     name: str
     address: str
@@ -27,8 +31,9 @@
 class Member(NamedTuple):
     """A control instance that votes.
 
-    `incarnation` is the random id of its data folder: the same name on a
-    blank disk is another member, whose votes do not count for the old one.
+    `incarnation` is the random id of its data folder. The same name on a
+    blank disk is a different member, and its votes do not count as votes of
+    the old member.
     """
 
     name: str
@@ -37,17 +42,17 @@
 
     @property
     def id(self) -> str:
-        """Return the name that ballots and votes carry."""
+        """Return the id that identifies the member in ballots and votes."""
         return f"{self.name}#{self.incarnation}"
 
     @property
     def endpoint(self) -> Endpoint:
-        """Return where the member is reached."""
+        """Return the member's name and address."""
         return Endpoint(self.name, self.address)
 
 
 class Change(NamedTuple):
-    """An accepted change: its id, its revision, a digest of its document."""
+    """An accepted edit: its id, its revision and a digest of its document."""
 
     change_id: str
     revision: int
@@ -55,14 +60,14 @@
 
 
 class Register(NamedTuple):
-    """The whole durable state.
-
-    `value` is opaque here (see `hyssopfold.state`); `changes` the latest
-    accepted changes, oldest first, so that a resent edit gets its first answer
-    again. `members` vote; while a change of members is under way `previous`
-    holds those that voted before, and a majority of both is needed. `epoch`
-    counts changes of members, `retired` lists ids that never vote again, and
-    `cluster` is a random id given once, when the cluster was formed.
+    """The replicated state as one value.
+
+    `value` is opaque here (see `hyssopfold.state`). `changes` lists the latest
+    accepted edits, oldest first, so that a resent edit gets its first answer
+    again. `members` vote. During a membership change `previous` lists the
+    members before it, and a majority of both sets is needed. `epoch` counts
+    membership changes, `retired` lists ids that never vote again, and
+    `cluster` is a random id that is assigned once, when the cluster is formed.
     """
 
     revision: int = 0
@@ -75,27 +80,27 @@
     retired: tuple[str, ...] = ()
 
     def accepted_change(self, change_id: str) -> Change | None:
-        """Return the remembered change called `change_id`."""
+        """Return the recorded change with the id `change_id`, or None."""
         for change in self.changes:
             if change.change_id == change_id:
                 return change
         return None
 
     def winner_after(self, revision: int) -> str:
-        """Return the id of the change that took the place after `revision`."""
+        """Return the id of the first recorded change after `revision`."""
         for change in self.changes:
             if change.revision > revision:
                 return change.change_id
         return self.changes[-1].change_id if self.changes else ""
 
     def voters(self) -> tuple[Member, ...]:
-        """Return all whose votes are needed now: members, and previous ones."""
-        new = {member.id for member in self.members}
-        gone = tuple(old for old in self.previous if old.id not in new)
-        return self.members + gone
+        """Return the current voters: the members and the previous members."""
+        new_ids = {member.id for member in self.members}
+        removed = tuple(old for old in self.previous if old.id not in new_ids)
+        return self.members + removed
 
     def member(self, name: str) -> Member | None:
-        """Return the member called `name`."""
+        """Return the member with the name `name`, or None."""
         for member in self.members:
             if member.name == name:
                 return member
@@ -106,7 +111,7 @@
 
 
 class DurableState(NamedTuple):
-    """What an acceptor must have synced before it answers."""
+    """The state that an acceptor must sync to disk before it answers."""
 
     promised: Ballot = NO_BALLOT
     accepted: Ballot = NO_BALLOT
@@ -114,11 +119,12 @@
 
 
 class ObservedStart(NamedTuple):
-    """What was seen of a member: its latest start, and its newest vote.
+    """The latest start and newest vote observed of another member.
 
-    `starts` counts the starts of a data folder and `nonce` is random for each.
-    A folder that was put back from a copy starts under a number that others
-    have seen with another nonce, or without a vote that others have seen.
+    `starts` counts the starts of a data folder and `nonce` is random for each
+    start. A folder that was restored from a copy starts with a number that
+    other members have observed with another nonce, or without a vote that
+    they have observed.
     """
 
     member_id: str
@@ -128,7 +134,7 @@
 
 
 class Identity(NamedTuple):
-    """Who this instance is, and what it has seen of others."""
+    """This instance as a member, and the starts it observed of others."""
 
     member: Member
     starts: int
@@ -148,9 +154,10 @@
 
 
 class Promise(NamedTuple):
-    """Promise to refuse lower ballots, with what was accepted so far.
+    """Promise to refuse lower ballots, with the state accepted so far.
 
-    The register is left out (blank) when the proposer holds the same one.
+    The register is omitted (blank) when the proposer has accepted the same
+    ballot.
     """
 
     ballot: Ballot
@@ -166,14 +173,14 @@
 
 
 class Accepted(NamedTuple):
-    """Tell the proposer that the register is accepted and synced."""
+    """Report to the proposer that the register is accepted and synced."""
 
     ballot: Ballot
     nonce: str = ""
 
 
 class Refused(NamedTuple):
-    """Tell the proposer that a higher ballot was promised."""
+    """Report to the proposer that a higher ballot was promised."""
 
     ballot: Ballot
     promised: Ballot
@@ -187,20 +194,20 @@
 
 
 class Query(NamedTuple):
-    """Ask which ballot an acceptor has accepted last; nothing is written."""
+    """Ask for the last accepted ballot of an acceptor, without any write."""
 
     number: int
 
 
 class QueryAnswer(NamedTuple):
-    """The ballot that was accepted last."""
+    """Answer a `Query` with the ballot accepted last."""
 
     number: int
     accepted: Ballot
 
 
 class Chosen(NamedTuple):
-    """Tell that the register accepted under `ballot` is chosen."""
+    """Report that the register accepted under `ballot` is chosen."""
 
     ballot: Ballot
 
@@ -210,19 +217,20 @@
 
 
 class Install(NamedTuple):
-    """A register known to be chosen, for one that is behind."""
+    """Send a register known to be chosen to an instance that is behind."""
 
     ballot: Ballot
     register: Register
 
 
 class Status(NamedTuple):
-    """What an instance tells the others of itself now and then.
+    """The state that an instance periodically sends to all others.
 
-    `chosen` is the newest ballot that it knows to be chosen; `configured_names` the
-    control instances of its settings; `observed_start` what it has seen of the
-    receiver; `ask` asks for a `Status` in return; `fault` says why it does not
-    vote; `region` is where it runs, empty where nobody needs to know.
+    `chosen` is the newest ballot known to be chosen, `configured_names` the
+    control instances in the sender's settings, and `observed_start` the latest
+    start of the receiver that the sender observed. `ask` requests a `Status`
+    in return, `fault` says why the sender does not vote, and `region` is where
+    it runs, or empty when voters are not selected by region.
     """
 
     member: Member
@@ -241,7 +249,7 @@
 
     @property
     def blank(self) -> bool:
-        """Return whether the instance holds no register at all."""
+        """Return whether the instance has accepted no register yet."""
         return self.accepted == NO_BALLOT
 
 
@@ -278,8 +286,8 @@
 class Edit(NamedTuple):
     """Event: replace the value if it is still at revision `expect`.
 
-    `digest` tells a resent edit from another one under the same id; `floor` is
-    the least revision to give (for restoring a backup).
+    `digest` distinguishes a resent edit from another edit under the same id.
+    `floor` is the lowest revision to assign (for restoring a backup).
     """
 
     request: int
@@ -291,17 +299,18 @@
 
 
 class Read(NamedTuple):
-    """Event: learn the register as strongly as a write would."""
+    """Event: read the register with the consistency of a write."""
 
     request: int
 
 
 class AddMember(NamedTuple):
-    """Event: let an instance vote that has caught up.
+    """Event: add an instance that has caught up to the members.
 
-    With `wanted` above 0 it is let only while fewer vote, and where it does
-    not give its region a majority: what was found when this was asked for may
-    have changed since, by another instance that asked at the same moment.
+    With `wanted` above 0 the instance is added only while there are fewer than
+    `wanted` members and only where it does not give its region a majority.
+    Both are checked again when the operation is applied, since another
+    instance may have requested a membership change at the same moment.
     """
 
     request: int
@@ -310,10 +319,11 @@
 
 
 class RemoveMember(NamedTuple):
-    """Event: let a member vote no more.
+    """Event: remove a member from the voters.
 
-    One that `retires` is never admitted again under its id. One that was only
-    silent keeps its data folder and may take a vote again once it is back.
+    With `retires` its id is never admitted again. A member that was removed
+    only because it was silent keeps its data folder and may be added again
+    once it is back.
     """
 
     request: int
@@ -322,7 +332,7 @@
 
 
 class ReplaceMember(NamedTuple):
-    """Event: let a new incarnation vote in place of the old (internal)."""
+    """Event: replace a member by its new incarnation (internal)."""
 
     request: int
     old_id: str
@@ -333,7 +343,7 @@
 
 
 class Received(NamedTuple):
-    """Event: a message came from the instance with the id `sender`."""
+    """Event: a message arrived from the instance with the id `sender`."""
 
     sender: str
     message: Message
@@ -344,52 +354,52 @@
 
 
 class StorageFailed(NamedTuple):
-    """Event: a write could not be synced; nothing after it was carried out."""
+    """Event: a write could not be synced; later effects were not executed."""
 
     detail: str
 
 
 class StorageRecovered(NamedTuple):
-    """Event: all that `Node.durable` holds is written and synced again."""
+    """Event: the whole of `Node.durable` is written and synced again."""
 
 
 Event = Operation | Received | Tick | StorageFailed | StorageRecovered
 
 
 class SavePromise(NamedTuple):
-    """Effect: write and sync before any later effect is carried out."""
+    """Effect: write and sync a promise before any later effect."""
 
     promised: Ballot
 
 
 class SaveRegister(NamedTuple):
-    """Effect: write and sync before any later effect is carried out."""
+    """Effect: write and sync a register before any later effect."""
 
     accepted: Ballot
     register: Register
 
 
 class SaveObservedStarts(NamedTuple):
-    """Effect: write and sync before any later effect is carried out."""
+    """Effect: write and sync observed starts before any later effect."""
 
     observed_starts: tuple[ObservedStart, ...]
 
 
 class Send(NamedTuple):
-    """Effect: send a message to an instance; it may be lost."""
+    """Effect: send a message to an instance; delivery is not guaranteed."""
 
     to: Endpoint
     message: Message
 
 
 class Learned(NamedTuple):
-    """Effect: this register is chosen; it is in force from now on."""
+    """Effect: put a chosen register in force."""
 
     register: Register
 
 
 class FaultChanged(NamedTuple):
-    """Effect: say that this instance does not vote, and why ("": it does)."""
+    """Effect: report why this instance does not vote ("" if it votes)."""
 
     fault: str
 
@@ -414,23 +424,23 @@
 
 
 class EditNotAccepted(NamedTuple):
-    """Result: the edit is certain never to take effect."""
+    """Result: the edit will never take effect."""
 
     reason: str = ""
 
 
 class OutcomeUnknown(NamedTuple):
-    """Result: no majority answered in time; the edit may take effect."""
+    """Result: no majority answered in time; the edit may still take effect."""
 
 
 class ReadDone(NamedTuple):
-    """Result: the register as of some moment after the read began."""
+    """Result: the register at some time after the read began."""
 
     register: Register
 
 
 class MembersChanged(NamedTuple):
-    """Result: these members vote from now on."""
+    """Result: the members from `epoch` on."""
 
     epoch: int
     members: tuple[Member, ...]
@@ -448,7 +458,7 @@
 
 
 class Reply(NamedTuple):
-    """Effect: answer the event that carried this request number."""
+    """Effect: answer the operation with this request number."""
 
     request: int
     result: Result
--- a/hyssopfold/core/consensus/operations.py
+++ b/hyssopfold/core/consensus/operations.py
@@ -1,4 +1,4 @@
-"""What an operation makes of the register that it finds chosen."""
+"""Apply operations to the chosen register."""
 
 from collections.abc import Sequence
 import functools
@@ -13,25 +13,25 @@
 
 
 class PeerView(Protocol):
-    """What is known of the other instances at this moment."""
+    """The current statuses of the other instances."""
 
     def candidate(self, name: str) -> messages.Member | str:
-        """Return the instance if it has caught up, else why it may not vote."""
+        """Return the instance as a member, or why it cannot be added."""
 
     def rejection_reason(
         self, register: messages.Register, name: str, wanted: int
     ) -> str:
-        """Return why the instance should not vote beside the members, or ""."""
+        """Return why the instance should not be added, or ""."""
 
     def is_majority_reachable(self, members: Sequence[messages.Member]) -> bool:
-        """Return whether a majority of `members` was heard of lately."""
+        """Return whether a majority of `members` sent a recent status."""
 
 
 class OperationOutcome(NamedTuple):
-    """The register after an operation and its result.
+    """The register after an operation, and the operation's result.
 
-    A result of None means that another round is needed: a change of members
-    is answered once the old members are no longer needed.
+    A result of None means that another round is needed: a membership change
+    is answered only once the old members are no longer needed.
     """
 
     register: messages.Register
@@ -44,11 +44,14 @@
     register: messages.Register,
     view: PeerView,
 ) -> OperationOutcome:
-    """Return what `operation` makes of `register`.
+    """Return the register and result after `operation` on `register`.
 
-    Applying an operation again gives the first result again.
+    Applying an operation again returns the first result again.
+
+    Raises:
+        TypeError: if `operation` is not an operation.
     """
-    raise TypeError(f"no such operation: {operation!r}")
+    raise TypeError(f"unknown operation: {operation!r}")
 
 
 @apply.register
@@ -66,13 +69,13 @@
     register: messages.Register,
     view: PeerView,
 ) -> OperationOutcome:
-    earlier = register.accepted_change(operation.change_id)
-    if earlier is not None:
-        if earlier.digest != operation.digest:
-            reused = messages.ChangeIdReused(earlier.revision)
+    recorded = register.accepted_change(operation.change_id)
+    if recorded is not None:
+        if recorded.digest != operation.digest:
+            reused = messages.ChangeIdReused(recorded.revision)
             return OperationOutcome(register, reused)
         return OperationOutcome(
-            register, messages.EditAccepted(earlier.revision)
+            register, messages.EditAccepted(recorded.revision)
         )
     if operation.expect != register.revision:
         winner = register.winner_after(operation.expect)
@@ -122,8 +125,10 @@
     if not members:
         return _refuse(register, "the last member cannot be removed")
     if not view.is_majority_reachable(members):
-        # Nothing could be decided any more until one of them came back.
-        return _refuse(register, "no majority of those that stay answers")
+        # Nothing could be decided until one of them came back.
+        return _refuse(
+            register, "no majority of the remaining members is reachable"
+        )
     retired = register.retired
     if operation.retires:
         retired = _retire(register, old.id)
--- a/hyssopfold/core/consensus/peers.py
+++ b/hyssopfold/core/consensus/peers.py
@@ -1,4 +1,4 @@
-"""What a member knows of the other control instances from their words."""
+"""Track the other control instances by the statuses that they send."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -8,11 +8,13 @@
 from hyssopfold.core.consensus import replica as replica_module
 from hyssopfold.core.consensus import voter_selection
 
+# Age in seconds up to which a status counts as recent.
 RECENT_S = 5.0
-# Seconds without a word, of which one is due every second where instances
-# find each other. One missed is enough to let a newcomer vote beside a member
-# that may be lost, which costs nothing if it is not; five are asked for before
-# a member's vote is taken for good.
+# Seconds without a status before a member is suspected and before it is
+# considered lost. With discovery a status is due every second. One missed
+# status is enough to add a newcomer beside a suspected member, which does no
+# harm if that member is alive. Five missed statuses are required before a
+# member is removed.
 SUSPECT_S = 1.6
 LOST_S = 6.0
 MAX_OBSERVED_STARTS = 32
@@ -20,7 +22,7 @@
 CONFIRMING = "it waits until others have confirmed its data folder"
 OLDER_COPY = (
     "its data folder is an older copy: stop it, move the folder aside and"
-    " start it again; it comes back blank and is admitted anew"
+    " start it again; it restarts blank and is admitted again"
 )
 RETIRED = (
     "it was removed or replaced: move its data folder aside, or leave it off"
@@ -33,16 +35,19 @@
 
 class _ReceivedStatus(NamedTuple):
     status: messages.Status
-    at: float
+    received_at: float
 
 
 class Peers:
-    """Keep the latest status of each other instance, and judge by it.
+    """The latest status of each other instance, and decisions based on it.
+
+    `node.Node` uses it to decide whether this instance may vote, who forms the
+    cluster, and which membership changes are due.
 
     Args:
-        replica: What this member holds and knows.
+        replica: State of this member.
         configured: Control instances in the settings, this one included.
-        first_start: Whether a cluster may be formed where all are blank.
+        first_start: Whether a cluster may be formed if all instances are blank.
         region: Region that this instance runs in.
     """
 
@@ -58,7 +63,7 @@
         self._region = region
         self._configured = tuple(sorted(configured))
         self._received: dict[str, _ReceivedStatus] = {}
-        # Since when a member that was never heard of is waited for.
+        # When each member without any status so far was first checked.
         self._awaited_since: dict[str, float] = {}
         identity = replica.identity
         self._observed_starts = {
@@ -69,29 +74,29 @@
 
     @property
     def configured_names(self) -> tuple[str, ...]:
-        """Return the names in the settings, sorted."""
+        """Return the sorted names of the control instances in the settings."""
         return tuple(endpoint.name for endpoint in self._configured)
 
     def recent_statuses(self, now: float) -> list[messages.Status]:
-        """Return the words of those heard of lately."""
+        """Return the statuses received within the last `RECENT_S` seconds."""
         return [
             received.status
             for received in self._received.values()
-            if now - received.at <= RECENT_S
+            if now - received.received_at <= RECENT_S
         ]
 
     def endpoints(self) -> list[messages.Endpoint]:
-        """Return all other instances that are worth talking to."""
-        found = {endpoint.name: endpoint for endpoint in self._configured}
+        """Return all other instances: configured, voting or with a status."""
+        endpoints = {endpoint.name: endpoint for endpoint in self._configured}
         for voter in self._replica.register.voters():
-            found[voter.name] = voter.endpoint
+            endpoints[voter.name] = voter.endpoint
         for name, received in self._received.items():
-            found[name] = received.status.member.endpoint
-        found.pop(self._replica.identity.member.name, None)
-        return list(found.values())
+            endpoints[name] = received.status.member.endpoint
+        endpoints.pop(self._replica.identity.member.name, None)
+        return list(endpoints.values())
 
     def endpoint_of(self, member_id: str) -> messages.Endpoint | None:
-        """Return where the instance with this id is reached."""
+        """Return the endpoint of the instance with this id, or None."""
         name = member_id.partition("#")[0]
         for endpoint in self.endpoints():
             if endpoint.name == name:
@@ -101,17 +106,19 @@
     def observed_start_of(
         self, member_id: str
     ) -> messages.ObservedStart | None:
-        """Return what was seen of a member."""
+        """Return the latest start observed of a member, or None."""
         return self._observed_starts.get(member_id)
 
     def record_accepted(
         self, member_id: str, accepted: messages.Ballot, nonce: str
     ) -> None:
-        """Remember a vote, so that a folder without it is known as a copy."""
-        known = self._observed_starts.get(member_id)
-        if known is not None and known.nonce == nonce:
-            newest = max(known.accepted, accepted)
-            self._observed_starts[member_id] = known._replace(accepted=newest)
+        """Record a member's vote, to detect a restored folder without it."""
+        observed = self._observed_starts.get(member_id)
+        if observed is not None and observed.nonce == nonce:
+            newest = max(observed.accepted, accepted)
+            self._observed_starts[member_id] = observed._replace(
+                accepted=newest
+            )
 
     def record_status(
         self,
@@ -119,7 +126,13 @@
         now: float,
         effects: list[messages.Effect],
     ) -> None:
-        """Take in the word of another instance."""
+        """Record the status of another instance.
+
+        Args:
+            status: The status received.
+            now: Monotonic time in seconds.
+            effects: Gets the effect that saves a newly observed start.
+        """
         self._received[status.member.name] = _ReceivedStatus(status, now)
         self._record_start(status, effects)
         self._check_own_start(status)
@@ -128,11 +141,11 @@
         self, status: messages.Status, effects: list[messages.Effect]
     ) -> None:
         member_id = status.member.id
-        known = self._observed_starts.get(member_id)
-        if known is not None and known.nonce == status.nonce:
+        observed = self._observed_starts.get(member_id)
+        if observed is not None and observed.nonce == status.nonce:
             self.record_accepted(member_id, status.accepted, status.nonce)
             return
-        if known is not None and _is_older(status, known):
+        if observed is not None and _is_older(status, observed):
             return
         self._observed_starts.pop(member_id, None)
         self._observed_starts[member_id] = messages.ObservedStart(
@@ -144,80 +157,83 @@
         effects.append(messages.SaveObservedStarts(observed_starts))
 
     def _check_own_start(self, status: messages.Status) -> None:
-        """Learn from what the other has seen of this instance."""
-        observed_start = status.observed_start
+        """Compare this start with the one that the other instance observed."""
+        observed = status.observed_start
         identity = self._replica.identity
-        if (
-            observed_start is None
-            or observed_start.member_id != self._replica.id
-        ):
+        if observed is None or observed.member_id != self._replica.id:
             return
-        if observed_start.nonce == identity.nonce:
+        if observed.nonce == identity.nonce:
             self._confirmed_by |= {status.member.id, status.member.name}
             return
-        # Put back from a copy, the folder lacks votes that others rely on;
-        # voting on would let a majority forget an accepted edit.
-        if observed_start.starts >= identity.starts:
+        # A folder restored from a copy lacks votes that others rely on. If
+        # this instance kept voting, a majority could lose an accepted edit.
+        if observed.starts >= identity.starts:
             self.stale = True
-        if observed_start.accepted > self._replica.accepted_at_start:
+        if observed.accepted > self._replica.accepted_at_start:
             self.stale = True
 
     def is_confirmed(self) -> bool:
-        """Return whether enough others know of no newer start of this one."""
+        """Return whether a majority has confirmed this start as the latest.
+
+        The first start of a data folder needs no confirmation.
+        """
         if self._replica.identity.starts <= 1:
             return True
         voters = self._replica.register.voters()
         if voters:
-            known = sum(
+            confirmations = sum(
                 voter.id in self._confirmed_by or voter.id == self._replica.id
                 for voter in voters
             )
-            return known > len(voters) // 2
+            return confirmations > len(voters) // 2
         names = self.configured_names
         me = self._replica.identity.member.name
-        known = sum(name in self._confirmed_by or name == me for name in names)
-        return known > len(names) // 2
+        confirmations = sum(
+            name in self._confirmed_by or name == me for name in names
+        )
+        return confirmations > len(names) // 2
 
     def fault(self) -> str:
-        """Return why this instance does not vote, or nothing."""
+        """Return why this instance does not vote, or "" if it votes."""
         if self.stale:
             return OLDER_COPY
         register = self._replica.chosen
-        voters = [voter.id for voter in register.voters()]
+        voter_ids = [voter.id for voter in register.voters()]
         is_retired = self._replica.id in register.retired
-        if is_retired and self._replica.id not in voters:
+        if is_retired and self._replica.id not in voter_ids:
             return RETIRED
-        mine = self._replica.register.cluster
+        cluster = self._replica.register.cluster
         others = [
             received.status.cluster for received in self._received.values()
         ]
-        foreign = sum(bool(other) and other != mine for other in others)
-        if mine and foreign > len(self._configured) // 2:
+        foreign = sum(bool(other) and other != cluster for other in others)
+        if cluster and foreign > len(self._configured) // 2:
             return OTHER_CLUSTER
         return "" if self.is_confirmed() else CONFIRMING
 
     def is_majority_reachable(
         self, members: Sequence[messages.Member], now: float
     ) -> bool:
-        """Return whether a majority of `members` was heard of lately."""
-        received = {status.member.id for status in self.recent_statuses(now)}
-        received.add(self._replica.id)
-        return quorums.has_majority(members, received)
+        """Return whether a majority of `members` sent a recent status."""
+        ids = {status.member.id for status in self.recent_statuses(now)}
+        ids.add(self._replica.id)
+        return quorums.has_majority(members, ids)
 
     def may_form(self, now: float) -> bool:
         """Return whether this instance forms the cluster.
 
-        All configured instances must say that they are blank, and the first by
-        name alone forms: a blank disk beside others with data, or two that
-        begin at once, can never make a second cluster.
+        All configured instances must report that they are blank, and only the
+        first by name forms the cluster. Neither a blank disk among instances
+        with data nor two instances that start at once can form a second
+        cluster.
         """
         me = self._replica.identity.member.name
         names = self.configured_names
         if not self._replica.is_blank or not names or names[0] != me:
             return False
         if not self.first_start:
-            # All disks here are blank because they were lost or replaced:
-            # a cluster with accepted state may run where none of them sees.
+            # These disks are blank because they were lost or replaced; a
+            # cluster with accepted state may run out of their reach.
             return False
         blank = {
             status.member.name
@@ -229,7 +245,7 @@
         return set(names) - {me} <= blank
 
     def initial_members(self, now: float) -> tuple[messages.Member, ...]:
-        """Return the members of the cluster that is to be formed."""
+        """Return the members of the cluster that this instance forms."""
         names = self.configured_names
         members = [self._replica.identity.member]
         members += [
@@ -240,7 +256,12 @@
         return tuple(sorted(members))
 
     def candidate(self, name: str, now: float) -> messages.Member | str:
-        """Return the instance called `name` if it has caught up, else why not."""
+        """Return the instance as a member, or why it cannot be added.
+
+        Args:
+            name: Name of the instance.
+            now: Monotonic time in seconds.
+        """
         for status in self.recent_statuses(now):
             if status.member.name != name:
                 continue
@@ -252,7 +273,7 @@
                 return f"{name}: {RETIRED}"
             return status.member
         return (
-            f"{name} was not heard of; start it with this instance among"
+            f"{name} has sent no recent status; start it with this instance in"
             " its `control` settings"
         )
 
@@ -264,14 +285,17 @@
     def replacement(
         self, status: messages.Status
     ) -> messages.ReplaceMember | None:
-        """Return how to admit a new incarnation under a member's name."""
+        """Return the change that replaces a member by its new incarnation.
+
+        Returns None when none is due.
+        """
         register = self._replica.register
         old = register.member(status.member.name)
         new = status.member
         if old is None or old.id == new.id:
             return None
-        # Two processes under one name would otherwise replace each other
-        # for ever.
+        # Otherwise two processes with the same name would keep replacing each
+        # other.
         if new.id in register.retired or status.fault:
             return None
         if not self._has_caught_up(status):
@@ -281,14 +305,15 @@
     def admission(
         self, status: messages.Status, wanted: int, now: float
     ) -> messages.AddMember | None:
-        """Return how to let a caught-up newcomer vote, if one is wanted.
+        """Return the change that adds a caught-up newcomer, or None.
 
-        A lost member's place is taken at once, by a newcomer under another
-        name; the lost one goes once the newcomer votes (see `removal`).
+        A newcomer under another name is added at once in place of a lost
+        member; the lost member is removed once the newcomer votes (see
+        `removal`).
 
         Args:
-            status: The newcomer's word.
-            wanted: How many members there should be.
+            status: Status of the newcomer.
+            wanted: Target number of members.
             now: Monotonic time in seconds.
         """
         register = self._replica.register
@@ -304,12 +329,18 @@
     def rejection_reason(
         self, register: messages.Register, name: str, wanted: int, now: float
     ) -> str:
-        """Return why a newcomer should not vote beside the members, or "".
+        """Return why a newcomer should not be added to the members, or "".
+
+        If a region that holds a majority of the votes is lost, nothing can be
+        decided. Its votes beyond the limit therefore count as free, and
+        newcomers of regions with fewer votes come first. If no other region
+        has a newcomer, any voter is better than too few voters.
 
-        A region that holds a majority of the votes takes every decision with
-        it when it is lost: its surplus votes count as places to be taken, and
-        a newcomer of a region with fewer votes goes first. Where no other
-        region offers one, any voter is better than one too few.
+        Args:
+            register: The register with the members.
+            name: Name of the newcomer.
+            wanted: Target number of members.
+            now: Monotonic time in seconds.
         """
         selection = voter_selection.VoterSelection(
             register.members,
@@ -325,20 +356,21 @@
         return selection.rejection_reason(region, others, wanted)
 
     def removal(self, wanted: int, now: float) -> messages.RemoveMember | None:
-        """Return how to take a vote beyond `wanted`: a lost member's first.
+        """Return the change that removes a member beyond `wanted`, or None.
 
-        It is not retired: it may have been cut off or frozen and hold its
-        data still. Retired, it would be gone for good though it runs, and
-        each such cut would leave one instance fewer to bear later losses.
+        A lost member is removed first. Its id is not retired, because it may
+        have been partitioned or frozen and still hold its data. If it were
+        retired, it could never vote again although it runs, and each such
+        partition would leave one instance fewer to tolerate later losses.
         """
         members = self._replica.register.members
         if len(members) <= wanted:
             return None
-        silent = self._silent_members(LOST_S, now)
-        if silent:
-            return messages.RemoveMember(0, silent[0], retires=False)
+        lost = self._silent_members(LOST_S, now)
+        if lost:
+            return messages.RemoveMember(0, lost[0], retires=False)
         if self._silent_members(SUSPECT_S, now):
-            # It is lost, or back soon: known before long.
+            # The suspected member soon either counts as lost or sends a status.
             return None
         selection = voter_selection.VoterSelection(
             members, self._regions(), set()
@@ -349,7 +381,7 @@
         )
 
     def _regions(self) -> dict[str, str]:
-        """Return the region of each instance that was heard of."""
+        """Return the region of each instance that has sent a status."""
         me = self._replica.identity.member.name
         return {me: self._region} | {
             name: received.status.region
@@ -357,7 +389,7 @@
         }
 
     def _silent_members(self, silent_s: float, now: float) -> list[str]:
-        """Return the names of members not heard of for so many seconds."""
+        """Return the names of members without a status for `silent_s`."""
         me = self._replica.identity.member.name
         return [
             member.name
@@ -367,18 +399,23 @@
         ]
 
     def _last_received_at(self, member: messages.Member, now: float) -> float:
-        """Return when a member was heard of, at the start if never."""
+        """Return when a member's last status arrived.
+
+        Without any status, this is the time of the first call for the member.
+        """
         received = self._received.get(member.name)
         if received is not None and received.status.member.id == member.id:
-            return received.at
+            return received.received_at
         return self._awaited_since.setdefault(member.id, now)
 
 
 class PeerSnapshot:
-    """What is known of the other instances at one moment.
+    """The statuses of the other instances at one point in time.
+
+    Implements `operations.PeerView`.
 
     Args:
-        peers: Their latest words.
+        peers: Tracks the other instances.
         now: Monotonic time in seconds.
     """
 
@@ -387,19 +424,23 @@
         self._now = now
 
     def candidate(self, name: str) -> messages.Member | str:
-        """Return the instance if it has caught up, else why it may not vote."""
+        """Return the instance as a member, or why it cannot be added."""
         return self._peers.candidate(name, self._now)
 
     def rejection_reason(
         self, register: messages.Register, name: str, wanted: int
     ) -> str:
-        """Return why the instance should not vote beside the members."""
+        """Return why the instance should not be added, or ""."""
         return self._peers.rejection_reason(register, name, wanted, self._now)
 
     def is_majority_reachable(self, members: Sequence[messages.Member]) -> bool:
-        """Return whether a majority of `members` was heard of lately."""
+        """Return whether a majority of `members` sent a recent status."""
         return self._peers.is_majority_reachable(members, self._now)
 
 
-def _is_older(status: messages.Status, known: messages.ObservedStart) -> bool:
-    return status.starts <= known.starts or status.accepted < known.accepted
+def _is_older(
+    status: messages.Status, observed: messages.ObservedStart
+) -> bool:
+    return (
+        status.starts <= observed.starts or status.accepted < observed.accepted
+    )
--- a/hyssopfold/core/consensus/quorums.py
+++ b/hyssopfold/core/consensus/quorums.py
@@ -1,4 +1,4 @@
-"""Majorities of the members, and of both sets while members change."""
+"""Count majorities, of both member sets during a membership change."""
 
 from collections.abc import Collection
 
@@ -8,7 +8,7 @@
 def has_majority(
     members: Collection[messages.Member], ids: Collection[str]
 ) -> bool:
-    """Return whether `ids` holds more than half of `members`."""
+    """Return whether `ids` contains more than half of `members`."""
     votes = sum(member.id in ids for member in members)
     return votes > len(members) // 2
 
@@ -16,11 +16,12 @@
 def satisfied(
     register: messages.Register, ids: Collection[str], chosen: bool = False
 ) -> bool:
-    """Return whether `ids` may decide on `register` and what follows it.
+    """Return whether `ids` form a quorum for `register` and its successors.
 
-    While members change, a majority of the old and of the new is needed: the
-    old alone could go on deciding without knowing of the new, and the other
-    way round. Once the change is known to be `chosen`, the new suffice.
+    During a membership change, majorities of both the old and the new members
+    are needed: otherwise the old members could keep deciding without the new
+    ones, and the reverse. Once the change is known to be `chosen`, a majority
+    of the new members is enough.
     """
     if not has_majority(register.members, ids):
         return False
--- a/hyssopfold/core/consensus/replica.py
+++ b/hyssopfold/core/consensus/replica.py
@@ -1,4 +1,4 @@
-"""What a member holds and knows: its votes and the newest chosen register."""
+"""Hold the state of a member: its votes and the newest chosen register."""
 
 from hyssopfold.core.consensus import acceptor
 from hyssopfold.core.consensus import invariants
@@ -6,11 +6,11 @@
 
 
 class Replica:
-    """The state that the halves of a member share.
+    """The state of a member, shared by its `Node`, `Peers` and `Proposer`.
 
     Args:
-        identity: Who this instance is.
-        durable: What storage holds, or the blank state.
+        identity: This instance as a member, and the starts it observed.
+        durable: The state in storage, or the blank state.
     """
 
     def __init__(
@@ -24,7 +24,7 @@
 
     @property
     def id(self) -> str:
-        """Return the id under which this instance votes."""
+        """Return the member id of this instance."""
         return self.identity.member.id
 
     @property
@@ -39,17 +39,20 @@
 
     @property
     def is_blank(self) -> bool:
-        """Return whether no register is held at all."""
+        """Return whether this instance has accepted no register yet."""
         return self.accepted == messages.NO_BALLOT
 
     @property
     def is_voter(self) -> bool:
-        """Return whether the register held names this instance as a voter."""
+        """Return whether the accepted register lists this instance as voter."""
         return any(voter.id == self.id for voter in self.register.voters())
 
     @property
     def is_settled(self) -> bool:
-        """Return whether the register held is known to be chosen for good."""
+        """Return whether the accepted register is known to be chosen.
+
+        False also while a membership change is not completed.
+        """
         return (
             self.accepted <= self.chosen_ballot and not self.register.previous
         )
@@ -60,7 +63,11 @@
         register: messages.Register,
         effects: list[messages.Effect],
     ) -> None:
-        """Take note that `register` is chosen under `ballot`."""
+        """Record that `register` is chosen under `ballot`.
+
+        Raises:
+            InvariantError: if the revision falls, or its value changes.
+        """
         if ballot <= self.chosen_ballot:
             return
         old = self.chosen
@@ -81,7 +88,10 @@
         message: messages.Prepare | messages.Accept | messages.Form,
         effects: list[messages.Effect],
     ) -> messages.Message | None:
-        """Return the vote on a proposer's message; it is saved first."""
+        """Return the vote on a proposer's message.
+
+        The effect that saves the vote is added to `effects`.
+        """
         match message:
             case messages.Prepare():
                 save, answer = self.acceptor.prepare(message)
@@ -100,14 +110,14 @@
     def install(
         self, install: messages.Install, effects: list[messages.Effect]
     ) -> None:
-        """Take in a chosen register that this instance missed.
+        """Accept a chosen register that this instance missed.
 
-        An instance that restarted does not know yet whether what it holds is
-        chosen. A register older than that is let pass: learned, it would put
-        a lower revision in force than before the restart.
+        After a restart an instance does not know yet whether its accepted
+        register is chosen. A register older than that one is ignored: learning
+        it would put a lower revision in force than before the restart.
         """
-        mine = self.register.cluster
-        if mine and mine != install.register.cluster:
+        own_cluster = self.register.cluster
+        if own_cluster and own_cluster != install.register.cluster:
             return
         if install.ballot < self.accepted:
             return
--- a/hyssopfold/core/consensus/voter_selection.py
+++ b/hyssopfold/core/consensus/voter_selection.py
@@ -1,4 +1,4 @@
-"""Which instances should vote, so that no lost region takes the majority."""
+"""Select voters so that losing one region never loses the majority."""
 
 from collections.abc import Collection
 from collections.abc import Mapping
@@ -8,12 +8,14 @@
 
 
 class VoterSelection:
-    """The votes that are held, by region.
+    """The members that are not lost, counted by region.
+
+    Used by `peers.Peers` to add and to remove members.
 
     Args:
-        members: Those that vote.
-        regions: Region of each instance by name, as far as it is known.
-        lost: Names of members that are silent: their places are free.
+        members: The members of the register.
+        regions: Region of each instance by name, where it is known.
+        lost: Names of silent members, which can be replaced.
     """
 
     def __init__(
@@ -23,10 +25,12 @@
         lost: Collection[str],
     ) -> None:
         self._regions = regions
-        self._held = [one.name for one in members if one.name not in lost]
+        self._voters = [
+            member.name for member in members if member.name not in lost
+        ]
 
     def _count(self, region: str) -> int:
-        return sum(self._regions.get(name) == region for name in self._held)
+        return sum(self._regions.get(name) == region for name in self._voters)
 
     def rejection_reason(
         self, region: str, others: Collection[str], wanted: int
@@ -34,30 +38,37 @@
         """Return why a newcomer in `region` should not vote, or "".
 
         Args:
-            region: Where the newcomer runs, empty when it is not known.
+            region: Region of the newcomer, empty when it is not known.
             others: Regions of all newcomers that could vote.
-            wanted: How many members there should be.
+            wanted: Target number of members.
         """
-        most = wanted // 2
-        crowded = bool(region) and self._count(region) >= most
-        if crowded and any(self._count(one) < most for one in others if one):
-            return f"region {region} holds {most} votes already"
-        beyond = 0
-        if not crowded:
-            # One region's votes beyond its part are better held elsewhere.
-            held = {self._regions.get(name, "") for name in self._held}
-            beyond = sum(max(0, self._count(one) - most) for one in held if one)
-        if len(self._held) - beyond >= wanted:
-            return f"{wanted} vote already"
+        max_votes = wanted // 2
+        region_is_full = bool(region) and self._count(region) >= max_votes
+        if region_is_full and any(
+            self._count(other) < max_votes for other in others if other
+        ):
+            return f"region {region} holds {max_votes} votes already"
+        excess = 0
+        if not region_is_full:
+            # Votes of a region beyond its limit are better moved to another.
+            regions = {self._regions.get(name, "") for name in self._voters}
+            excess = sum(
+                max(0, self._count(other) - max_votes)
+                for other in regions
+                if other
+            )
+        if len(self._voters) - excess >= wanted:
+            return f"{wanted} instances vote already"
         return ""
 
     def least_needed(self, me: str) -> str:
-        """Return whose vote is missed least: one of the fullest region.
+        """Return the member to remove: one of the region with most votes.
 
-        Never the one that asks: it would have to confirm its own removal.
+        The calling instance `me` is never returned, since it would have to
+        confirm its own removal.
         """
-        others = [name for name in self._held if name != me]
+        others = [name for name in self._voters if name != me]
         return max(
             others,
-            key=lambda one: (self._count(self._regions.get(one, "")), one),
+            key=lambda name: (self._count(self._regions.get(name, "")), name),
         )
--- a/tests/core/consensus/members.feature
+++ b/tests/core/consensus/members.feature
@@ -89,7 +89,7 @@
     Given 3 members with seed 6
     When "control-1" is asked to add the member "control-9"
     And 2 s pass
-    Then the change of members is refused: "was not heard of"
+    Then the change of members is refused: "has sent no recent status"
 
   Scenario: a removal that would leave no majority alive is refused
     Given 3 members with seed 7
@@ -97,7 +97,7 @@
     And 10 s pass
     And "control-1" is asked to remove the member "control-2"
     And 2 s pass
-    Then the change of members is refused: "no majority of those that stay"
+    Then the change of members is refused: "no majority of the remaining members"
 
   Scenario: an older copy of the data folder is put back
     Given 3 members with seed 8
