--- a/hyssopfold/core/consensus/node.py
+++ b/hyssopfold/core/consensus/node.py
@@ -1,8 +1,8 @@
 """One member of the replicated register: acceptor and proposer in one.
 
-The register is decided by ballots, each round carrying the whole value: a
-round that reaches a majority in both of its phases makes its value the
-chosen one. There is no log; see docs/design/durable-state.md.
+The register is decided by ballots, and each round proposes the whole value. A
+round that reaches a majority in both of its phases makes its value the chosen
+one. There is no log; see docs/design/durable-state.md.
 """
 
 from collections.abc import Sequence
@@ -15,18 +15,22 @@
 from hyssopfold.core.consensus import replica as replica_module
 
 STATUS_S = 2.0
-# Where newcomers are admitted without an operator, who is lost must show soon:
-# a second one may be lost a few seconds after the first was replaced.
+# Status interval when newcomers are admitted without an operator. A lost
+# member must be detected quickly, since a second one may be lost a few seconds
+# after the first was replaced.
 DISCOVERY_STATUS_S = 1.0
-# Chance with which each voter there proposes a change of members that is due:
-# of four voters one does within a word or two, and rarely do all.
+# Probability with which each voter then proposes a due membership change on
+# each status: with four voters one of them does within one or two statuses,
+# and rarely all of them at once.
 _MEMBER_CHANGE_PROBABILITY = 0.5
 _FIRST_STATUS_S = 0.1
 _FETCH_S = 1.0
 _SETTLE_S = 3.0
 _FIRST_SETTLE_S = 0.3
-# Where all may lose power at once, callers are refused until one has settled
-# what it holds; it asks first, and writes nothing if a majority holds the same.
+# Delay of the first read with discovery, where all instances may lose power at
+# once: callers are refused until one instance knows that its register is
+# chosen. The read starts with a query, and writes nothing if a majority holds
+# the same register.
 _DISCOVERY_SETTLE_S = 0.05
 
 BLANK = messages.DurableState()
@@ -35,18 +39,20 @@
 
 
 class Node:
-    """Decide edits, reads and changes of members of the register.
+    """The decisions of one member of the register, without input or output.
+
+    `control.instance.Instance` passes it events and executes its effects.
 
     Args:
-        identity: Who this instance is, from its data folder.
+        identity: This instance as a member, from its data folder.
         configured: Control instances in the settings, this one included.
-        durable: What storage holds, or `BLANK`.
+        durable: The state in storage, or `BLANK`.
         rng: Source of jitter and of the cluster's id.
-        round_timeout_s: Time for one round to reach a majority.
-        operation_timeout_s: Time until an operation is given up.
-        first_start: Whether a cluster may be formed where all are blank.
-        wanted_members: How many instances vote; newcomers are admitted until
-            there are so many. 0 leaves that to operators.
+        round_timeout_s: Timeout of one round, in seconds.
+        operation_timeout_s: Timeout of an operation, in seconds.
+        first_start: Whether a cluster may be formed if all instances are blank.
+        wanted_members: Target number of members; newcomers are admitted until
+            it is reached. With 0 only operators change the members.
         region: Region that this instance runs in.
     """
 
@@ -64,7 +70,9 @@
     ) -> None:
         self._wanted_members = wanted_members
         self._region = region
-        self._status_s = DISCOVERY_STATUS_S if wanted_members else STATUS_S
+        self._max_status_interval_s = (
+            DISCOVERY_STATUS_S if wanted_members else STATUS_S
+        )
         self.name = identity.member.name
         self.replica = replica_module.Replica(identity, durable)
         self.peers = peers_module.Peers(
@@ -91,7 +99,7 @@
 
     @property
     def durable(self) -> messages.DurableState:
-        """Return what this member's acceptor has persisted."""
+        """Return the state that this member's acceptor has persisted."""
         return self.replica.acceptor.durable
 
     @property
@@ -101,19 +109,19 @@
 
     @property
     def fault(self) -> str:
-        """Return why this instance does not vote, or nothing."""
+        """Return why this instance does not vote, or "" if it votes."""
         return self._storage_fault or self.peers.fault()
 
     def handle(
         self, event: messages.Event, now: float
     ) -> list[messages.Effect]:
-        """Return the effects of `event`, to be carried out in order.
+        """Return the effects of `event`, to be executed in order.
 
-        When a save fails, the effects after it must not be carried out; the
-        next event is then `StorageFailed`.
+        If a save fails, the effects after it must not be executed, and the
+        next event must be `StorageFailed`.
 
         Args:
-            event: What happened.
+            event: The event to handle.
             now: Monotonic time in seconds.
         """
         effects: Effects = []
@@ -123,7 +131,7 @@
         return effects
 
     def next_deadline(self) -> float:
-        """Return when a `Tick` is due at the latest, in seconds."""
+        """Return when the next `Tick` is due at the latest, in seconds."""
         due = [self._status_at]
         if self._settle_at is not None:
             due.append(self._settle_at)
@@ -138,8 +146,8 @@
             self._reported_fault = fault
             effects.append(messages.FaultChanged(fault))
         if fault or self.replica.is_blank:
-            # Left standing in the past, it would ask for a tick at once, for
-            # ever: one that does not vote has nothing to settle.
+            # An instance that does not vote has nothing to settle. A deadline
+            # left in the past would request ticks without pause.
             self._settle_at = None
         if fault:
             self.proposer.refuse_all(fault, effects)
@@ -154,18 +162,18 @@
             self._send_status_to_all(now, effects)
 
     def _settle(self, now: float, effects: Effects) -> None:
-        """Finish what another proposer may have left half done.
+        """Complete a round that another proposer may have left unfinished.
 
-        A proposer that dies between its two phases leaves a register on a
-        minority, or one that is chosen without anyone knowing: a read carries
-        it through, or buries it, so that nobody waits for the next edit.
+        A proposer that crashes between its two phases leaves a register that
+        only a minority accepted, or one that is chosen but not known to be. A
+        read completes or discards it without waiting for the next edit.
         """
         if self.replica.is_settled or not self.replica.is_voter:
             self._settle_at = None
             return
         if self._settle_at is None:
-            gap_s = self._settle_delay_s * self._rng.uniform(1.0, 2.0)
-            self._settle_at = now + gap_s
+            delay_s = self._settle_delay_s * self._rng.uniform(1.0, 2.0)
+            self._settle_at = now + delay_s
             self._settle_delay_s = _SETTLE_S
         if now >= self._settle_at:
             self._settle_at = None
@@ -173,7 +181,7 @@
                 self.proposer.submit(messages.Read(0), now, effects)
 
     def _form(self, now: float, effects: Effects) -> None:
-        """Make the first register and ask all to accept it."""
+        """Create the first register and ask all members to accept it."""
         ballot = messages.Ballot(1, self.replica.id)
         promised = self.durable.promised
         if ballot <= promised:
@@ -194,7 +202,7 @@
     def submit(
         self, operation: messages.Operation, now: float, effects: Effects
     ) -> None:
-        """Let `operation` wait for its rounds."""
+        """Queue `operation` in the proposer."""
         self.proposer.submit(operation, now, effects)
 
     def receive(
@@ -204,7 +212,7 @@
         now: float,
         effects: Effects,
     ) -> None:
-        """Take in a message of another instance."""
+        """Handle a message from another instance."""
         match message:
             case messages.Status():
                 self._on_status(message, now, effects)
@@ -224,7 +232,7 @@
         now: float,
         effects: Effects,
     ) -> None:
-        """Take in a message of a round; one that does not vote ignores it."""
+        """Handle a message of a round; called only if this instance votes."""
         match message:
             case messages.Prepare() | messages.Accept() | messages.Form():
                 self._vote(sender, message, effects)
@@ -273,8 +281,8 @@
             reply = self._status(status.member, ask=False)
             to = status.member.endpoint
             effects.append(messages.Send(to, reply))
-        mine = self.replica.register.cluster
-        if mine and status.cluster != mine:
+        own_cluster = self.replica.register.cluster
+        if own_cluster and status.cluster != own_cluster:
             return
         if status.chosen > self.replica.chosen_ballot:
             self._on_chosen(status.member.id, status.chosen, now, effects)
@@ -285,7 +293,7 @@
     def _propose_member_change(
         self, status: messages.Status, now: float, effects: Effects
     ) -> None:
-        """Admit who may take a vote, and dismiss who was replaced."""
+        """Propose to add, replace or remove a member where one is due."""
         if not self.proposer.is_idle:
             return
         change: messages.Operation | None = self.peers.replacement(status)
@@ -293,11 +301,11 @@
         if change is None and wanted:
             admission = self.peers.admission(status, wanted, now)
             change = admission or self.peers.removal(wanted, now)
-        # Any voter may do it; by lot, so that they do not all propose.
-        chance = 1.0 / len(self.replica.register.members)
+        # Any voter may propose the change; chance keeps them from all doing so.
+        probability = 1.0 / len(self.replica.register.members)
         if wanted:
-            chance = _MEMBER_CHANGE_PROBABILITY
-        if change is not None and self._rng.random() < chance:
+            probability = _MEMBER_CHANGE_PROBABILITY
+        if change is not None and self._rng.random() < probability:
             self.submit(change, now, effects)
 
     def _on_chosen(
@@ -337,8 +345,8 @@
         observed_start = (
             self.peers.observed_start_of(to.id) if to is not None else None
         )
-        # A vote that the disk refused is in memory alone: told, it would make
-        # this folder look like an older copy after the next restart.
+        # A vote that could not be written is only in memory. If it were
+        # reported, this folder would look like an older copy after a restart.
         is_synced = not self._storage_fault
         accepted = self.replica.accepted if is_synced else messages.NO_BALLOT
         return messages.Status(
@@ -358,31 +366,35 @@
         )
 
     def _send_status_to_all(self, now: float, effects: Effects) -> None:
-        is_eager = self.replica.is_blank or bool(self.fault)
-        known = {
+        asks_for_status = self.replica.is_blank or bool(self.fault)
+        members = {
             s.member.name: s.member for s in self.peers.recent_statuses(now)
         }
         for endpoint in self.peers.endpoints():
-            status = self._status(known.get(endpoint.name), ask=is_eager)
+            status = self._status(
+                members.get(endpoint.name), ask=asks_for_status
+            )
             effects.append(messages.Send(endpoint, status))
-        # Eager at first, then ever slower: an instance that stays blank or
-        # faulty for days must not cost the others more than a healthy one.
-        if is_eager:
-            gap_s = min(self._status_interval_s * 1.5, self._status_s)
+        # The interval is short at first and then grows: an instance that stays
+        # blank or faulty for days must not cost more than a healthy one.
+        if asks_for_status:
+            interval_s = min(
+                self._status_interval_s * 1.5, self._max_status_interval_s
+            )
         else:
-            gap_s = self._status_s
-        self._status_interval_s = gap_s
-        self._status_at = now + gap_s * self._rng.uniform(0.75, 1.0)
+            interval_s = self._max_status_interval_s
+        self._status_interval_s = interval_s
+        self._status_at = now + interval_s * self._rng.uniform(0.75, 1.0)
 
     def fail_storage(self, detail: str) -> None:
-        """Stop voting: what was decided last could not be synced."""
+        """Stop voting, since the last vote could not be synced."""
         self._storage_fault = f"its disk refuses writes: {detail}"
 
     def recover_storage(self, effects: Effects) -> None:
-        """Vote again: all that this member holds is synced."""
+        """Vote again, since the whole durable state is synced."""
         self._storage_fault = ""
         if self.replica.chosen.members:
-            # It may have been learned in the batch that was broken off.
+            # The `Learned` effect may have been dropped with the failed batch.
             effects.append(messages.Learned(self.replica.chosen))
 
 
@@ -390,8 +402,8 @@
 def _handle(
     event: messages.Event, node: Node, now: float, effects: Effects
 ) -> None:
-    """Carry `event` to the half of the member that it concerns."""
-    raise TypeError(f"no such event: {event!r}")
+    """Pass `event` to the method of `node` that handles it."""
+    raise TypeError(f"unknown event: {event!r}")
 
 
 @_handle.register(messages.Edit)
--- a/hyssopfold/core/consensus/proposer.py
+++ b/hyssopfold/core/consensus/proposer.py
@@ -1,4 +1,4 @@
-"""The proposing half of a member: carries operations through ballots."""
+"""Run operations through ballots: the proposer of a member."""
 
 from collections import deque
 from collections.abc import Callable
@@ -21,20 +21,20 @@
 
 
 class _PendingOperation:
-    """An operation that waits, or is under way."""
+    """A queued or running operation."""
 
     def __init__(self, operation: messages.Operation, deadline: float) -> None:
         self.operation = operation
         self.deadline = deadline
         self.requests = [operation.request]
         self.failed_rounds = 0
-        # An Accept that went out may take effect at any later time.
+        # An Accept that was sent may take effect at any later time.
         self.proposed = False
         self.needs_round = False
 
 
 class _Round:
-    """Votes gathered under one ballot."""
+    """Votes collected under one ballot."""
 
     def __init__(
         self,
@@ -42,13 +42,13 @@
         base: messages.Register,
         base_ballot: messages.Ballot,
         base_is_chosen: bool,
-        expires: float,
+        expires_at: float,
     ) -> None:
         self.ballot = ballot
         self.base = base
         self.base_ballot = base_ballot
         self.base_is_chosen = base_is_chosen
-        self.expires = expires
+        self.expires_at = expires_at
         self.asked: set[str] = set()
         self.promises: dict[str, messages.Promise] = {}
         self.accepts: set[str] = set()
@@ -56,27 +56,29 @@
 
 
 class _Query:
-    """Answers about one ballot, gathered by a read that writes nothing."""
+    """Answers about one ballot, collected by a read without writes."""
 
     def __init__(
-        self, number: int, ballot: messages.Ballot, expires: float
+        self, number: int, ballot: messages.Ballot, expires_at: float
     ) -> None:
         self.number = number
         self.ballot = ballot
-        self.expires = expires
-        self.same: set[str] = set()
+        self.expires_at = expires_at
+        self.agreeing: set[str] = set()
         self.answered: set[str] = set()
 
 
 class Proposer:
-    """Carry one operation after another until it is settled.
+    """The proposer of a member: runs one operation at a time.
+
+    Used by `node.Node`, which passes it the answers of acceptors.
 
     Args:
-        replica: What this member holds and knows.
+        replica: State of this member.
         rng: Source of back-off jitter.
-        round_timeout_s: Time for one round to reach a majority.
-        operation_timeout_s: Time until an operation is given up.
-        view: Returns what is known of the others at a time.
+        round_timeout_s: Timeout of one round, in seconds.
+        operation_timeout_s: Timeout of an operation, in seconds.
+        view: Returns the statuses of the other instances at a time.
     """
 
     def __init__(
@@ -102,13 +104,19 @@
 
     @property
     def is_idle(self) -> bool:
-        """Return whether no operation waits or is under way."""
+        """Return whether no operation is queued or running."""
         return self._current is None and not self._pending
 
     def submit(
         self, operation: messages.Operation, now: float, effects: Effects
     ) -> None:
-        """Let `operation` wait for its rounds."""
+        """Queue `operation`, or refuse it if the queue is full.
+
+        Args:
+            operation: The operation to run.
+            now: Monotonic time in seconds.
+            effects: Gets the answer if the queue is full.
+        """
         if len(self._pending) >= MAX_PENDING:
             result = messages.EditNotAccepted("too many operations wait")
             _reply([operation.request], result, effects)
@@ -117,22 +125,22 @@
         self._pending.append(_PendingOperation(operation, deadline))
 
     def next_deadline(self) -> float | None:
-        """Return when `advance` is due at the latest, in seconds."""
+        """Return when `advance` must be called at the latest, in seconds."""
         if self._current is None:
             return None
         due = self._retry_at
         if self._round is not None:
-            due = self._round.expires
+            due = self._round.expires_at
         elif self._query is not None:
-            due = self._query.expires
+            due = self._query.expires_at
         return min(due, self._current.deadline)
 
     def observe_counter(self, counter: int) -> None:
-        """Take note of a ballot's counter, so that the next one is higher."""
+        """Record a ballot's counter, so that the next ballot is higher."""
         self._counter = max(self._counter, counter)
 
     def refuse_all(self, reason: str, effects: Effects) -> None:
-        """Answer all operations: this member can settle none of them."""
+        """Answer all operations, since this member can run none of them."""
         if self._current is not None:
             self._finish(self._failure_result(reason), effects)
         while self._pending:
@@ -141,7 +149,7 @@
             _reply(pending.requests, result, effects)
 
     def advance(self, now: float, effects: Effects) -> None:
-        """Expire, retry or begin operations as far as time allows."""
+        """Expire, retry and start operations that are due at `now`."""
         self._expire_pending(now, effects)
         self._expire_current(now, effects)
         while self._current is None and self._pending:
@@ -152,7 +160,9 @@
     def _expire_pending(self, now: float, effects: Effects) -> None:
         while self._pending and now >= self._pending[0].deadline:
             pending = self._pending.popleft()
-            result = messages.EditNotAccepted("others were served first")
+            result = messages.EditNotAccepted(
+                "it timed out behind other operations"
+            )
             _reply(pending.requests, result, effects)
 
     def _expire_current(self, now: float, effects: Effects) -> None:
@@ -163,10 +173,10 @@
             self._finish(self._failure_result(_NO_MAJORITY), effects)
             return
         attempt = self._round or self._query
-        if attempt is None or now < attempt.expires:
+        if attempt is None or now < attempt.expires_at:
             return
         if not current.proposed and not self._is_majority_reachable(now):
-            # Certain already: waiting on would only hold the refusal back.
+            # The refusal is certain; waiting longer would only delay it.
             self._finish(messages.EditNotAccepted(_NO_MAJORITY), effects)
             return
         current.needs_round = True
@@ -189,7 +199,7 @@
         self._retry_at = now
         if not isinstance(current.operation, messages.Read):
             return
-        # One round answers all reads that wait: each began before it.
+        # One round answers all queued reads, since each began before it.
         others = [
             pending
             for pending in self._pending
@@ -215,22 +225,23 @@
         elif self._replica.is_voter:
             self._begin_round(now, effects)
         else:
-            # A round needs a ballot that is synced before it is used, which
-            # is the vote of its proposer. A question needs none: a majority
-            # that holds what this instance holds makes it the newest.
+            # A round needs a ballot that its proposer has synced as a vote of
+            # its own, which a non-voter cannot give. A query needs no ballot:
+            # if a majority has accepted the same ballot as this instance, its
+            # register is the newest.
             self._finish(self._failure_result(NOT_A_VOTER), effects)
 
     def _begin_query(self, now: float, effects: Effects) -> None:
         self._queries += 1
-        expires = now + self._round_timeout_s
-        query = _Query(self._queries, self._replica.accepted, expires)
+        expires_at = now + self._round_timeout_s
+        query = _Query(self._queries, self._replica.accepted, expires_at)
         self._query = query
         for voter in self._replica.register.voters():
             if voter.id != self._replica.id:
                 message = messages.Query(query.number)
                 effects.append(messages.Send(voter.endpoint, message))
-        mine = messages.QueryAnswer(query.number, self._replica.accepted)
-        self.on_query_answer(self._replica.id, mine, now, effects)
+        own_answer = messages.QueryAnswer(query.number, self._replica.accepted)
+        self.on_query_answer(self._replica.id, own_answer, now, effects)
 
     def on_query_answer(
         self,
@@ -239,29 +250,31 @@
         now: float,
         effects: Effects,
     ) -> None:
-        """Count an answer; a majority with one ballot makes it chosen.
+        """Count an answer; a majority with the same ballot ends the read.
 
-        A register chosen before the read began is held by a majority, which
-        shares an acceptor with this one: it would show a higher ballot.
+        A register chosen before the read began was accepted by a majority.
+        That majority shares an acceptor with the one that answers, and this
+        acceptor would report a higher ballot.
         """
         query = self._query
         if query is None or answer.number != query.number:
             return
         if self._replica.accepted != query.ballot:
-            # Who answered that it holds the ballot of before says nothing of
-            # the one accepted since: both counted as one make no majority.
+            # Answers with the old ballot say nothing about the ballot that
+            # this instance has accepted since; answers about two ballots must
+            # not be counted as one majority.
             self._replace_query_with_round(now)
             return
         query.answered.add(sender)
         register = self._replica.register
         if answer.accepted == query.ballot:
-            query.same.add(sender)
-        if quorums.satisfied(register, query.same):
+            query.agreeing.add(sender)
+        if quorums.satisfied(register, query.agreeing):
             self._record_chosen(query.ballot, register, effects)
             self._finish(messages.ReadDone(register), effects)
             return
-        asked = {voter.id for voter in register.voters()}
-        if answer.accepted > query.ballot or asked <= query.answered:
+        voter_ids = {voter.id for voter in register.voters()}
+        if answer.accepted > query.ballot or voter_ids <= query.answered:
             self._replace_query_with_round(now)
 
     def _replace_query_with_round(self, now: float) -> None:
@@ -287,7 +300,7 @@
     def _prepare(
         self, register: messages.Register, now: float, effects: Effects
     ) -> None:
-        """Ask the voters of `register` that this round has not asked yet."""
+        """Send `Prepare` to the voters of `register` not asked so far."""
         current = self._round
         assert current is not None
         message = messages.Prepare(
@@ -295,9 +308,9 @@
         )
         voters = [v for v in register.voters() if v.id not in current.asked]
         current.asked.update(voter.id for voter in voters)
-        # The own vote goes first, so that it is synced before anyone hears of
-        # the ballot. Sent earlier, a crash in between would forget a ballot
-        # that others have seen, and the same number would be used twice.
+        # This instance votes first, so that the ballot is synced before it is
+        # sent. Otherwise a crash in between would lose a ballot that others
+        # have received, and the same number would be used twice.
         answer = None
         if any(voter.id == self._replica.id for voter in voters):
             answer = self._replica.vote(message, effects)
@@ -328,7 +341,7 @@
         now: float,
         effects: Effects,
     ) -> None:
-        """Count a promise; at a majority decide what to propose."""
+        """Count a promise; propose a register once a majority promised."""
         current = self._round
         if current is None or promise.ballot != current.ballot:
             return
@@ -352,38 +365,38 @@
         return promise.accepted == self._replica.chosen_ballot
 
     def _is_chosen(self, newest: messages.Promise) -> bool:
-        """Return whether what `newest` accepted is known to be chosen."""
+        """Return whether the register in `newest` is known to be chosen."""
         assert self._round is not None
         if self._is_known_chosen(newest):
             return True
-        same = {
+        agreeing = {
             sender
             for sender, promise in self._round.promises.items()
             if promise.accepted == newest.accepted
         }
-        return quorums.satisfied(newest.register, same)
+        return quorums.satisfied(newest.register, agreeing)
 
     def _propose(
         self, newest: messages.Promise, now: float, effects: Effects
     ) -> None:
         assert self._round is not None
         assert self._current is not None
-        held = newest.register
+        register = newest.register
         is_chosen = self._is_chosen(newest)
-        if held.previous and not is_chosen:
-            # A change of members that may or may not have been decided is
-            # decided first. Built upon at once, two such changes in a row
-            # could leave majorities that share no member.
-            outcome = operations.OperationOutcome(held, None)
+        if register.previous and not is_chosen:
+            # A membership change that may or may not be chosen is completed
+            # first. If it were built upon at once, two changes in a row could
+            # leave majorities without a common member.
+            outcome = operations.OperationOutcome(register, None)
         else:
-            base = held._replace(previous=())
+            base = register._replace(previous=())
             operation = self._current.operation
             outcome = operations.apply(operation, base, self._view(now))
             if outcome.register != base:
                 self._current.proposed = True
         self._round.outcome = outcome
-        if outcome.register == held and is_chosen:
-            self._record_chosen(newest.accepted, held, effects)
+        if outcome.register == register and is_chosen:
+            self._record_chosen(newest.accepted, register, effects)
             assert outcome.result is not None
             self._finish(outcome.result, effects)
             return
@@ -398,8 +411,8 @@
         for voter in voters:
             if voter.id != self._replica.id:
                 effects.append(messages.Send(voter.endpoint, message))
-        # The ballot is synced since its promise, so here the messages may
-        # leave first: the disks of all then sync at the same time.
+        # The ballot was synced with its promise, so the messages can be sent
+        # before the own vote; all disks then sync at the same time.
         if any(voter.id == self._replica.id for voter in voters):
             answer = self._replica.vote(message, effects)
             self._receive_own(answer, now, effects)
@@ -411,7 +424,7 @@
         now: float,
         effects: Effects,
     ) -> None:
-        """Count an accept; at a majority the proposal is chosen."""
+        """Count an accept; with a majority the proposal is chosen."""
         current = self._round
         if current is None or accepted.ballot != current.ballot:
             return
@@ -435,7 +448,7 @@
         register: messages.Register,
         effects: Effects,
     ) -> None:
-        """Take note that `register` is chosen; tell the others if it is news."""
+        """Record that `register` is chosen; if that is new, notify voters."""
         if ballot <= self._replica.chosen_ballot:
             return
         self._replica.install(messages.Install(ballot, register), effects)
@@ -445,21 +458,21 @@
                 effects.append(messages.Send(voter.endpoint, message))
 
     def on_refused(self, refused: messages.Refused, now: float) -> None:
-        """Give the round up in favour of a higher ballot."""
+        """Abort the round, since an acceptor promised a higher ballot."""
         self.observe_counter(refused.promised.counter)
         if self._round is not None and refused.ballot == self._round.ballot:
             self._schedule_retry(now)
 
     def _schedule_retry(self, now: float) -> None:
-        # Two proposers that retry in step would refuse each other for good;
-        # the jitter lets one of them finish.
+        # Two proposers that retry at the same time would keep refusing each
+        # other; the jitter lets one of them finish.
         assert self._current is not None
         self._round = None
         self._query = None
         self._current.failed_rounds += 1
-        limit = _BACKOFF_S * 2.0 ** min(self._current.failed_rounds, 10)
-        limit = min(limit, _MAX_BACKOFF_S)
-        self._retry_at = now + self._rng.uniform(0, limit)
+        max_delay_s = _BACKOFF_S * 2.0 ** min(self._current.failed_rounds, 10)
+        max_delay_s = min(max_delay_s, _MAX_BACKOFF_S)
+        self._retry_at = now + self._rng.uniform(0, max_delay_s)
 
     def _finish(self, result: messages.Result, effects: Effects) -> None:
         assert self._current is not None
@@ -472,7 +485,7 @@
 def _reply(
     requests: list[int], result: messages.Result, effects: Effects
 ) -> None:
-    """Answer all `requests` but those of this member itself, which are 0."""
+    """Answer `requests`, except 0, which is an operation of this member."""
     for request in requests:
         if request:
             effects.append(messages.Reply(request, result))
