--- a/hyssopfold/storage/__init__.py
+++ b/hyssopfold/storage/__init__.py
@@ -1,1 +1,1 @@
-"""The data folder: synced, checksummed records."""
+"""Data folder of synced, checksummed records."""
--- a/hyssopfold/storage/disk.py
+++ b/hyssopfold/storage/disk.py
@@ -1,4 +1,4 @@
-"""The few calls on files that durability rests on."""
+"""File operations with explicit syncs, for durable writes."""
 
 import os
 import pathlib
@@ -6,61 +6,64 @@
 
 
 class Disk(Protocol):
-    """Files that last only once they, and their folder, are synced."""
+    """File operations that `folder.DataFolder` needs.
+
+    A file survives a crash only once its content and its folder are synced.
+    """
 
     def read(self, path: pathlib.Path) -> bytes | None:
-        """Return the file's content, or None if there is none."""
+        """Return the file's content, or None if it does not exist."""
 
     def write(self, path: pathlib.Path, data: bytes) -> None:
-        """Write a whole file; it may be lost or torn until it is synced."""
+        """Write a whole file; a crash before `sync` may lose or tear it."""
 
     def sync(self, path: pathlib.Path) -> None:
-        """Return once the content of the file would survive a crash."""
+        """Sync the file's content, so that it survives a crash."""
 
     def replace(self, source: pathlib.Path, target: pathlib.Path) -> None:
-        """Rename a file over another; lost until the folder is synced."""
+        """Rename a file over another; durable after `sync_folder`."""
 
     def remove(self, path: pathlib.Path) -> None:
-        """Remove a file if it is there."""
+        """Remove a file if it exists."""
 
     def sync_folder(self, path: pathlib.Path) -> None:
-        """Return once the names in the folder would survive a crash."""
+        """Sync the names in the folder, so that they survive a crash."""
 
 
 class OsDisk:
-    """The operating system's files."""
+    """A `Disk` on the files of the operating system."""
 
     def read(self, path: pathlib.Path) -> bytes | None:
-        """Return the file's content, or None if there is none."""
+        """Return the file's content, or None if it does not exist."""
         try:
             return path.read_bytes()
         except FileNotFoundError:
             return None
 
     def write(self, path: pathlib.Path, data: bytes) -> None:
-        """Write a whole file; it may be lost or torn until it is synced."""
+        """Write a whole file; a crash before `sync` may lose or tear it."""
         path.write_bytes(data)
 
     def sync(self, path: pathlib.Path) -> None:
-        """Return once the content of the file would survive a crash."""
+        """Sync the file's content, so that it survives a crash."""
         _sync(path)
 
     def replace(self, source: pathlib.Path, target: pathlib.Path) -> None:
-        """Rename a file over another; lost until the folder is synced."""
+        """Rename a file over another; durable after `sync_folder`."""
         os.replace(source, target)
 
     def remove(self, path: pathlib.Path) -> None:
-        """Remove a file if it is there."""
+        """Remove a file if it exists."""
         path.unlink(missing_ok=True)
 
     def sync_folder(self, path: pathlib.Path) -> None:
-        """Return once the names in the folder would survive a crash."""
+        """Sync the names in the folder, so that they survive a crash."""
         _sync(path)
 
 
 def _sync(path: pathlib.Path) -> None:
-    handle = os.open(path, os.O_RDONLY)
+    descriptor = os.open(path, os.O_RDONLY)
     try:
-        os.fsync(handle)
+        os.fsync(descriptor)
     finally:
-        os.close(handle)
+        os.close(descriptor)
--- a/hyssopfold/storage/folder.py
+++ b/hyssopfold/storage/folder.py
@@ -1,4 +1,7 @@
-"""One data folder: locked, checksummed, synced, replaced atomically."""
+"""Store records in a locked data folder, checksummed and synced.
+
+Each record is a file that is replaced atomically.
+"""
 
 import fcntl
 import os
@@ -11,27 +14,29 @@
 
 FORMAT = 1
 _MAGIC = b"HYSSOP"
-_HEADER = len(_MAGIC) + 2 + 4
-_NEW = ".new"
+_HEADER_BYTES = len(_MAGIC) + 2 + 4
+_TEMPORARY_SUFFIX = ".new"
 
 
 class DataFolder:
-    """Hold records that survive a crash once `write` has returned.
+    """A folder of records that survive a crash once `write` has returned.
+
+    Used by `records.MemberRecords` and by other parts that keep records.
 
     Args:
-        path: Folder of this instance alone; made when missing.
-        files: The disk below.
+        path: Folder of this instance alone; created if missing.
+        files: File operations, by default those of the operating system.
 
     Raises:
-        StorageBusyError: when another process holds the folder.
-        StorageWriteError: when the folder cannot be made.
+        StorageBusyError: if another process has locked the folder.
+        StorageWriteError: if the folder cannot be created.
     """
 
     def __init__(self, path: str, files: disk.Disk | None = None) -> None:
         self.path = pathlib.Path(path)
         self._files = files or disk.OsDisk()
         try:
-            self._make()
+            self._create()
         except OSError as exc:
             raise errors.StorageWriteError(path, str(exc)) from exc
         self._lock = os.open(self.path / "lock", os.O_RDWR | os.O_CREAT, 0o600)
@@ -41,42 +46,43 @@
             os.close(self._lock)
             raise errors.StorageBusyError(path) from exc
 
-    def _make(self) -> None:
+    def _create(self) -> None:
         if self.path.exists():
             return
         self.path.mkdir(parents=True)
-        # The folder's own name lasts only once its parent is synced.
+        # The folder's own name is durable only once its parent is synced.
         self._files.sync_folder(self.path.parent)
 
     def read(self, name: str) -> bytes | None:
-        """Return the record called `name`, or None if there is none.
+        """Return the record with the name `name`, or None if it is missing.
 
         Raises:
-            CorruptStorageError: when its checksum or format is wrong, or the
-                disk cannot read it.
+            CorruptStorageError: if the checksum is wrong or the disk cannot
+                read the record.
+            StorageFormatError: if the record has another format.
         """
         path = self.path / name
         try:
             data = self._files.read(path)
         except OSError as exc:
             raise errors.CorruptStorageError(str(path), str(exc)) from exc
-        return None if data is None else _unwrap(str(path), data)
+        return None if data is None else _decode(str(path), data)
 
     def write(self, name: str, record: bytes) -> None:
-        """Replace the record called `name`; return once it is synced.
+        """Replace the record with the name `name`; return once it is synced.
 
-        The new content is synced under another name before it takes the
-        place of the old one, and the folder is synced after: a crash leaves
-        the old record or the new, never a torn one.
+        The new content is synced under a temporary name, which is then renamed
+        over the old record, and then the folder is synced. A crash leaves
+        either the old or the new record, never a torn one.
 
         Raises:
-            StorageWriteError: when the disk is full or broken; the record is
-                then the old one or the new one.
+            StorageWriteError: if the disk is full or broken; the folder then
+                contains either the old or the new record.
         """
         path = self.path / name
-        temporary = self.path / f"{name}{_NEW}"
+        temporary = self.path / f"{name}{_TEMPORARY_SUFFIX}"
         try:
-            self._files.write(temporary, _wrap(record))
+            self._files.write(temporary, _encode(record))
             self._files.sync(temporary)
             self._files.replace(temporary, path)
             self._files.sync_folder(self.path)
@@ -85,15 +91,15 @@
             raise errors.StorageWriteError(str(path), str(exc)) from exc
 
     def _remove(self, path: pathlib.Path) -> None:
-        # On a full disk the half-written file would keep the space that the
-        # next try needs.
+        # On a full disk the partly written file would occupy the space that
+        # the next attempt needs.
         try:
             self._files.remove(path)
         except OSError:
             return
 
     def close(self) -> None:
-        """Let another process have the folder."""
+        """Release the lock, so that another process can open the folder."""
         os.close(self._lock)
 
     def __enter__(self) -> "DataFolder":
@@ -103,19 +109,19 @@
         self.close()
 
 
-def _wrap(record: bytes) -> bytes:
-    head = _MAGIC + FORMAT.to_bytes(2, "big")
-    return head + zlib.crc32(record).to_bytes(4, "big") + record
+def _encode(record: bytes) -> bytes:
+    header = _MAGIC + FORMAT.to_bytes(2, "big")
+    return header + zlib.crc32(record).to_bytes(4, "big") + record
 
 
-def _unwrap(path: str, data: bytes) -> bytes:
-    if len(data) < _HEADER or not data.startswith(_MAGIC):
-        raise errors.CorruptStorageError(path, "no header")
+def _decode(path: str, data: bytes) -> bytes:
+    if len(data) < _HEADER_BYTES or not data.startswith(_MAGIC):
+        raise errors.CorruptStorageError(path, "it has no valid header")
     version = int.from_bytes(data[len(_MAGIC) : len(_MAGIC) + 2], "big")
     if version != FORMAT:
         raise errors.StorageFormatError(path, version, FORMAT)
-    record = data[_HEADER:]
-    checksum = int.from_bytes(data[_HEADER - 4 : _HEADER], "big")
+    record = data[_HEADER_BYTES:]
+    checksum = int.from_bytes(data[_HEADER_BYTES - 4 : _HEADER_BYTES], "big")
     if zlib.crc32(record) != checksum:
-        raise errors.CorruptStorageError(path, "checksum does not match")
+        raise errors.CorruptStorageError(path, "its checksum does not match")
     return record
--- a/hyssopfold/storage/records.py
+++ b/hyssopfold/storage/records.py
@@ -1,7 +1,7 @@
-"""What a member of the register keeps in its data folder.
+"""Load and save the records of a register member in its data folder.
 
-Five records, each replaced as a whole. All carry the incarnation, so that a
-record of another folder is never taken for one of this.
+There are five records, and each is replaced as a whole. All contain the
+incarnation, so that a record of another folder is detected.
 """
 
 from collections.abc import Callable
@@ -20,30 +20,34 @@
 REGISTER = "register"
 OBSERVED_STARTS = "sightings"
 
-_TOKEN_BITS = 64
+_ID_BITS = 64
 
 
 class Identity(NamedTuple):
-    """Whose folder it is; written last when the folder is made."""
+    """The owner of the folder; written last when the folder is created."""
 
     name: str
     incarnation: str
 
 
 class Starts(NamedTuple):
-    """How often the folder was opened, and a random id of the last time."""
+    """The number of times the folder was opened, and a nonce of the last."""
 
     incarnation: str
-    opened: int
+    start_count: int
     nonce: str
 
 
 class Promise(NamedTuple):
-    """The highest ballot promised; `formed` once a register was written."""
+    """The highest promised ballot.
+
+    `has_register` is true once a register was written, so that a missing
+    register is detected.
+    """
 
     incarnation: str
     promised: messages.Ballot
-    formed: bool
+    has_register: bool
 
 
 class Register(NamedTuple):
@@ -55,52 +59,56 @@
 
 
 class ObservedStarts(NamedTuple):
-    """What was seen of other members' starts."""
+    """The starts observed of other members."""
 
     incarnation: str
     observed_starts: tuple[messages.ObservedStart, ...]
 
 
-Kind = TypeVar("Kind", Identity, Starts, Promise, Register, ObservedStarts)
+RecordType = TypeVar(
+    "RecordType", Identity, Starts, Promise, Register, ObservedStarts
+)
 
 
 class MemberRecords:
-    """Load and save the records of one member.
+    """The records of one member in its data folder.
+
+    `control.instance.Instance` saves the member's votes with it.
 
     Args:
-        data: The folder they are kept in.
+        data: The folder that contains the records.
         name: Name of this instance.
-        draw_bits: Returns a random number of so many bits.
+        random_bits: Returns a random integer with the given number of bits.
     """
 
     def __init__(
         self,
         data: folder.DataFolder,
         name: str,
-        draw_bits: Callable[[int], int],
+        random_bits: Callable[[int], int],
     ) -> None:
-        self._data = data
+        self._folder = data
         self._name = name
-        self._draw_bits = draw_bits
+        self._random_bits = random_bits
         self._incarnation = ""
-        self._formed = False
+        self._has_register = False
         self._promised = messages.NO_BALLOT
 
     def open(
         self, address: str
     ) -> tuple[messages.Identity, messages.DurableState]:
-        """Count one more start; return who this instance is and what it holds.
+        """Record one more start and return the member's identity and state.
 
         Args:
-            address: IP number and port where others reach this instance.
+            address: IP address and port where others reach this instance.
 
         Raises:
-            CorruptStorageError: when a record is missing or cannot be trusted.
-            StorageWriteError: when the start cannot be written.
+            CorruptStorageError: if a record is missing or invalid.
+            StorageWriteError: if the start cannot be written.
         """
         identity = self._read(IDENTITY, Identity)
         if identity is None:
-            identity = self._make()
+            identity = self._create()
         if identity.name != self._name:
             raise errors.CorruptStorageError(
                 self._path(IDENTITY), f"it belongs to {identity.name}"
@@ -108,30 +116,32 @@
         self._incarnation = identity.incarnation
         durable = self._load()
         starts = self._require(STARTS, Starts)
-        starts = Starts(self._incarnation, starts.opened + 1, self._token())
+        starts = Starts(
+            self._incarnation, starts.start_count + 1, self._random_id()
+        )
         self._write(STARTS, starts)
-        observed_starts = self._read(OBSERVED_STARTS, ObservedStarts)
+        record = self._read(OBSERVED_STARTS, ObservedStarts)
         member = messages.Member(self._name, address, self._incarnation)
-        seen = (
-            observed_starts.observed_starts
-            if observed_starts is not None
-            else ()
+        observed_starts = record.observed_starts if record is not None else ()
+        member_identity = messages.Identity(
+            member, starts.start_count, starts.nonce, observed_starts
         )
-        whole = messages.Identity(member, starts.opened, starts.nonce, seen)
-        return whole, durable
+        return member_identity, durable
 
-    def _make(self) -> Identity:
-        """Make the records of a blank folder, the identity last.
+    def _create(self) -> Identity:
+        """Create the records of a blank folder, the identity last.
 
-        A crash on the way leaves no identity and nothing that was ever told
-        to anyone, and the next start makes them anew.
+        A crash before the identity is written loses nothing that was sent to
+        another instance; the next start creates the records again.
         """
         starts = self._read(STARTS, Starts)
-        if self._data.read(REGISTER) is not None or (starts and starts.opened):
+        if self._folder.read(REGISTER) is not None or (
+            starts and starts.start_count
+        ):
             raise errors.CorruptStorageError(
                 self._path(IDENTITY), "the record is missing"
             )
-        self._incarnation = self._token()
+        self._incarnation = self._random_id()
         self._write(
             PROMISE, Promise(self._incarnation, messages.NO_BALLOT, False)
         )
@@ -143,10 +153,11 @@
     def _load(self) -> messages.DurableState:
         promise = self._require(PROMISE, Promise)
         register = self._read(REGISTER, Register)
-        self._formed = register is not None
+        self._has_register = register is not None
         if register is None:
-            if promise.formed:
-                # Voting as if blank would forget what others rely on.
+            if promise.has_register:
+                # Voting as a blank instance would lose votes that others rely
+                # on.
                 raise errors.CorruptStorageError(
                     self._path(REGISTER), "the record is missing"
                 )
@@ -160,9 +171,9 @@
         """Write and sync a promise.
 
         Raises:
-            StorageWriteError: when it may be lost.
+            StorageWriteError: if the promise may not be durable.
         """
-        record = Promise(self._incarnation, promised, self._formed)
+        record = Promise(self._incarnation, promised, self._has_register)
         self._write(PROMISE, record)
         self._promised = promised
 
@@ -172,20 +183,20 @@
         """Write and sync an accepted register.
 
         Raises:
-            StorageWriteError: when it may be lost.
+            StorageWriteError: if the register may not be durable.
         """
         self._write(REGISTER, Register(self._incarnation, accepted, register))
-        if not self._formed:
-            self._formed = True
+        if not self._has_register:
+            self._has_register = True
             self.save_promise(max(self._promised, accepted))
 
     def save_observed_starts(
         self, observed_starts: tuple[messages.ObservedStart, ...]
     ) -> None:
-        """Write and sync what was seen of others.
+        """Write and sync the starts observed of other members.
 
         Raises:
-            StorageWriteError: when it may be lost.
+            StorageWriteError: if they may not be durable.
         """
         self._write(
             OBSERVED_STARTS, ObservedStarts(self._incarnation, observed_starts)
@@ -195,26 +206,28 @@
         """Write and sync all votes, after an earlier save failed.
 
         Raises:
-            StorageWriteError: when the disk still refuses.
+            StorageWriteError: if the disk still refuses the write.
         """
         if durable.accepted != messages.NO_BALLOT:
             self.save_register(durable.accepted, durable.register)
         self.save_promise(durable.promised)
 
-    def _require(self, name: str, kind: type[Kind]) -> Kind:
-        record = self._read(name, kind)
+    def _require(self, name: str, record_type: type[RecordType]) -> RecordType:
+        record = self._read(name, record_type)
         if record is None:
             raise errors.CorruptStorageError(
                 self._path(name), "the record is missing"
             )
         return record
 
-    def _read(self, name: str, kind: type[Kind]) -> Kind | None:
-        data = self._data.read(name)
+    def _read(
+        self, name: str, record_type: type[RecordType]
+    ) -> RecordType | None:
+        data = self._folder.read(name)
         if data is None:
             return None
         try:
-            record: Kind = msgspec.msgpack.decode(data, type=kind)
+            record: RecordType = msgspec.msgpack.decode(data, type=record_type)
         except msgspec.DecodeError as exc:
             raise errors.CorruptStorageError(
                 self._path(name), str(exc)
@@ -226,10 +239,10 @@
         return record
 
     def _write(self, name: str, record: NamedTuple) -> None:
-        self._data.write(name, msgspec.msgpack.encode(record))
+        self._folder.write(name, msgspec.msgpack.encode(record))
 
     def _path(self, name: str) -> str:
-        return str(self._data.path / name)
+        return str(self._folder.path / name)
 
-    def _token(self) -> str:
-        return f"{self._draw_bits(_TOKEN_BITS):016x}"
+    def _random_id(self) -> str:
+        return f"{self._random_bits(_ID_BITS):016x}"
