--- a/hyssopfold/storage/records.py
+++ b/hyssopfold/storage/records.py
@@ -65,9 +65,7 @@
     observed_starts: tuple[messages.ObservedStart, ...]
 
 
-RecordType = TypeVar(
-    "RecordType", Identity, Starts, Promise, Register, ObservedStarts
-)
+Kind = TypeVar("Kind", Identity, Starts, Promise, Register, ObservedStarts)
 
 
 class MemberRecords:
@@ -212,7 +210,7 @@
             self.save_register(durable.accepted, durable.register)
         self.save_promise(durable.promised)
 
-    def _require(self, name: str, record_type: type[RecordType]) -> RecordType:
+    def _require(self, name: str, record_type: type[Kind]) -> Kind:
         record = self._read(name, record_type)
         if record is None:
             raise errors.CorruptStorageError(
@@ -220,14 +218,12 @@
             )
         return record
 
-    def _read(
-        self, name: str, record_type: type[RecordType]
-    ) -> RecordType | None:
+    def _read(self, name: str, record_type: type[Kind]) -> Kind | None:
         data = self._folder.read(name)
         if data is None:
             return None
         try:
-            record: RecordType = msgspec.msgpack.decode(data, type=record_type)
+            record: Kind = msgspec.msgpack.decode(data, type=record_type)
         except msgspec.DecodeError as exc:
             raise errors.CorruptStorageError(
                 self._path(name), str(exc)
