--- a/spec/register_spec.py
+++ b/spec/register_spec.py
@@ -1,14 +1,14 @@
 """Specification of the replicated register, checked exhaustively.
 
-Acceptors A, B and C vote; D is what comes in place of C on a blank disk. Each
-ballot has one proposer and one operation. A message that was sent may be
-delivered at any later time, any number of times or never: so the steps of
-acceptors are enabled for good once a ballot is begun, and a proposer that
-crashes is one that takes no further step. A crashed acceptor comes back with
-its disk, which holds all that it told; one that lost its disk takes no
-further step.
-
-Run as a script: the rules must hold, and each broken variant must fail.
+Acceptors A, B and C vote; D replaces C on a blank disk. Each ballot has one
+proposer and one operation. A sent message may be delivered at any later time,
+any number of times or never. The steps of acceptors therefore stay enabled
+once a ballot is started, and a crashed proposer is one that takes no further
+step. A crashed acceptor restarts with its disk, which contains every vote that
+it sent; an acceptor that lost its disk takes no further step.
+
+Run as a script, it checks that the invariants hold under the rules and that
+each broken variant of the rules violates one.
 """
 
 from collections.abc import Iterable
@@ -24,7 +24,7 @@
 
 
 class Register(NamedTuple):
-    """The edits made so far, who votes, and who voted before a change."""
+    """The edits so far, the members, and the members before a change."""
 
     edits: str
     members: str
@@ -35,7 +35,7 @@
 
 
 class Rules(NamedTuple):
-    """What can be broken; the defaults are the rules of the register."""
+    """The rules of the register; a variant with one set to False is broken."""
 
     majority_of_old: bool = True
     settle_change_first: bool = True
@@ -49,7 +49,7 @@
 
 
 class Operation(NamedTuple):
-    """Who proposes under a ballot, and what."""
+    """The proposer of a ballot and the edit or members that it proposes."""
 
     proposer: str
     edit: str = ""
@@ -57,24 +57,25 @@
 
 
 class Schedule(NamedTuple):
-    """The operation of each ballot, the first being ballot 1."""
+    """The operation of each ballot, starting with ballot 1."""
 
     name: str
     operations: tuple[Operation, ...]
 
 
-class Slot(NamedTuple):
-    """What one acceptor holds on its disk."""
+class DurableState(NamedTuple):
+    """The promise and vote on the disk of one acceptor."""
 
     promised: int = NONE
     accepted: int = NONE
 
 
-class Attempt(NamedTuple):
-    """What became of one ballot.
+class BallotState(NamedTuple):
+    """The progress of one ballot.
 
-    `promises` are pairs of acceptor and the ballot it had accepted, dropped
-    once the proposal is made; `votes` are the acceptors that accepted it.
+    `promises` are pairs of an acceptor and the ballot it had accepted; they
+    are dropped once the proposal is made. `votes` lists the acceptors that
+    accepted the proposal.
     """
 
     promises: tuple[tuple[str, int], ...] = ()
@@ -85,12 +86,12 @@
 class State(NamedTuple):
     """All disks and all ballots."""
 
-    slots: tuple[Slot, ...]
-    attempts: tuple[Attempt, ...]
+    disks: tuple[DurableState, ...]
+    ballots: tuple[BallotState, ...]
 
 
 def has_majority(members: str, ids: Iterable[str], rules: Rules) -> bool:
-    """Return whether `ids` holds a majority of `members`."""
+    """Return whether `ids` contains a majority of `members`."""
     votes = len(set(members) & set(ids))
     if not rules.majority:
         return votes >= len(members) // 2
@@ -100,33 +101,33 @@
 def satisfied(
     register: Register, ids: Iterable[str], rules: Rules = RULES
 ) -> bool:
-    """Return whether `ids` may decide on `register`."""
-    found = set(ids)
-    if not has_majority(register.members, found, rules):
+    """Return whether `ids` form a quorum for `register`."""
+    voters = set(ids)
+    if not has_majority(register.members, voters, rules):
         return False
     if not register.previous or not rules.majority_of_old:
         return True
-    return has_majority(register.previous, found, rules)
+    return has_majority(register.previous, voters, rules)
 
 
-def may_promise(slot: Slot, ballot: int) -> bool:
+def may_promise(disk: DurableState, ballot: int) -> bool:
     """Return whether an acceptor promises `ballot`."""
-    return slot.promised <= ballot
+    return disk.promised <= ballot
 
 
-def may_accept(slot: Slot, ballot: int, rules: Rules = RULES) -> bool:
+def may_accept(disk: DurableState, ballot: int, rules: Rules = RULES) -> bool:
     """Return whether an acceptor accepts `ballot`."""
-    return slot.promised <= ballot or not rules.refuse_lower
+    return disk.promised <= ballot or not rules.refuse_lower
 
 
 def apply(operation: Operation, register: Register) -> Register:
-    """Return the register after an operation on one known to be chosen."""
+    """Return the register after an operation on a chosen register."""
     base = register._replace(previous="")
     if operation.edit:
         return base._replace(edits=base.edits + operation.edit)
     if operation.members == base.members:
         return base
-    # A change of members counts as an edit: none of them may be lost either.
+    # A membership change counts as an edit, since it must not be lost either.
     edits = f"{base.edits}({operation.members})"
     return Register(edits, operation.members, base.members)
 
@@ -137,34 +138,34 @@
     registers: Mapping[int, Register],
     rules: Rules,
 ) -> Register | None:
-    """Return what a proposer proposes, or None while promises are missing."""
-    pick = max if rules.adopt_newest else min
+    """Return the proposed register, or None while promises are missing."""
+    select = max if rules.adopt_newest else min
     base = registers[promises[operation.proposer]]
-    newest = pick(promises.values())
-    held = registers[newest]
+    newest = select(promises.values())
+    newest_register = registers[newest]
     if rules.majority_to_prepare:
         if not satisfied(base, promises, rules):
             return None
-        if not satisfied(held, promises, rules):
+        if not satisfied(newest_register, promises, rules):
             return None
-    same = [a for a, accepted in promises.items() if accepted == newest]
-    is_chosen = satisfied(held, same, rules)
-    if held.previous and not is_chosen and rules.settle_change_first:
-        return held
-    return apply(operation, held)
+    agreeing = [a for a, accepted in promises.items() if accepted == newest]
+    is_chosen = satisfied(newest_register, agreeing, rules)
+    if newest_register.previous and not is_chosen and rules.settle_change_first:
+        return newest_register
+    return apply(operation, newest_register)
 
 
-def registers_of(state: State) -> dict[int, Register]:
-    """Return the register proposed under each ballot, `NONE` the first."""
-    found = {NONE: START}
-    for ballot, attempt in enumerate(state.attempts, 1):
-        if attempt.proposal is not None:
-            found[ballot] = attempt.proposal
-    return found
+def proposed_registers(state: State) -> dict[int, Register]:
+    """Return the register of each ballot; `NONE` has the first register."""
+    registers = {NONE: START}
+    for ballot, ballot_state in enumerate(state.ballots, 1):
+        if ballot_state.proposal is not None:
+            registers[ballot] = ballot_state.proposal
+    return registers
 
 
 class Model:
-    """Steps of a schedule under some rules.
+    """The states and steps of a schedule under the given rules.
 
     Args:
         schedule: The operation of each ballot.
@@ -176,146 +177,174 @@
         self.rules = rules
 
     def initial(self) -> State:
-        """Return the state after forming: all hold the first register."""
+        """Return the state after forming: all acceptors have `START`."""
         return State(
-            (Slot(),) * len(ACCEPTORS), (Attempt(),) * len(self.operations)
+            (DurableState(),) * len(ACCEPTORS),
+            (BallotState(),) * len(self.operations),
         )
 
     def steps(self, state: State) -> list[tuple[str, State]]:
-        """Return the states that one step leads to."""
-        found = []
+        """Return the label and next state of each possible step."""
+        steps = []
         for index in range(len(self.operations)):
-            found += self._promises(state, index)
-            found += self._proposal(state, index)
-            found += self._votes(state, index)
-        return found
+            steps += self._promises(state, index)
+            steps += self._proposal(state, index)
+            steps += self._votes(state, index)
+        return steps
 
     def _promises(self, state: State, index: int) -> list[tuple[str, State]]:
-        attempt, ballot = state.attempts[index], index + 1
-        if attempt.proposal is not None:
+        ballot_state, ballot = state.ballots[index], index + 1
+        if ballot_state.proposal is not None:
             return []
         proposer = self.operations[index].proposer
-        done = dict(attempt.promises)
-        found = []
-        for place, acceptor in enumerate(ACCEPTORS):
-            slot = state.slots[place]
+        promised_by = dict(ballot_state.promises)
+        steps = []
+        for acceptor_index, acceptor in enumerate(ACCEPTORS):
+            disk = state.disks[acceptor_index]
             # The proposer's own promise comes first.
-            if acceptor in done or (not done and acceptor != proposer):
+            if acceptor in promised_by or (
+                not promised_by and acceptor != proposer
+            ):
                 continue
-            if not may_promise(slot, ballot):
+            if not may_promise(disk, ballot):
                 continue
-            promises = (*attempt.promises, (acceptor, slot.accepted))
-            new = attempt._replace(promises=tuple(sorted(promises)))
-            promised = slot._replace(promised=ballot)
+            promises = (*ballot_state.promises, (acceptor, disk.accepted))
+            new = ballot_state._replace(promises=tuple(sorted(promises)))
+            promised = disk._replace(promised=ballot)
             label = f"{acceptor} promises {ballot}"
-            found.append((label, _put(state, place, promised, index, new)))
-        return found
+            steps.append(
+                (label, _update(state, acceptor_index, promised, index, new))
+            )
+        return steps
 
     def _proposal(self, state: State, index: int) -> list[tuple[str, State]]:
-        attempt, operation = state.attempts[index], self.operations[index]
-        promises = dict(attempt.promises)
-        if attempt.proposal is not None or operation.proposer not in promises:
+        ballot_state, operation = state.ballots[index], self.operations[index]
+        promises = dict(ballot_state.promises)
+        if (
+            ballot_state.proposal is not None
+            or operation.proposer not in promises
+        ):
             return []
-        registers = registers_of(state)
+        registers = proposed_registers(state)
         proposal = propose(operation, promises, registers, self.rules)
         if proposal is None:
             return []
-        new = Attempt((), proposal, "")
-        attempts = _at(state.attempts, index, new)
+        new = BallotState((), proposal, "")
+        ballots = _replace_item(state.ballots, index, new)
         label = f"{operation.proposer} proposes {index + 1}: {proposal}"
-        return [(label, state._replace(attempts=attempts))]
+        return [(label, state._replace(ballots=ballots))]
 
     def _votes(self, state: State, index: int) -> list[tuple[str, State]]:
-        attempt, ballot = state.attempts[index], index + 1
-        if attempt.proposal is None:
+        ballot_state, ballot = state.ballots[index], index + 1
+        if ballot_state.proposal is None:
             return []
-        voters = set(attempt.proposal.members + attempt.proposal.previous)
-        found = []
-        for place, acceptor in enumerate(ACCEPTORS):
-            slot = state.slots[place]
-            if acceptor not in voters or acceptor in attempt.votes:
+        voters = set(
+            ballot_state.proposal.members + ballot_state.proposal.previous
+        )
+        steps = []
+        for acceptor_index, acceptor in enumerate(ACCEPTORS):
+            disk = state.disks[acceptor_index]
+            if acceptor not in voters or acceptor in ballot_state.votes:
                 continue
-            if not may_accept(slot, ballot, self.rules):
+            if not may_accept(disk, ballot, self.rules):
                 continue
-            votes = "".join(sorted(attempt.votes + acceptor))
-            accepted = Slot(max(slot.promised, ballot), ballot)
-            new = attempt._replace(votes=votes)
+            votes = "".join(sorted(ballot_state.votes + acceptor))
+            accepted = DurableState(max(disk.promised, ballot), ballot)
+            new = ballot_state._replace(votes=votes)
             label = f"{acceptor} accepts {ballot}"
-            found.append((label, _put(state, place, accepted, index, new)))
-        return found
+            steps.append(
+                (label, _update(state, acceptor_index, accepted, index, new))
+            )
+        return steps
 
     def chosen(self, state: State) -> list[tuple[int, Register]]:
-        """Return the ballots that are chosen, with their registers."""
+        """Return the chosen ballots with their registers."""
         return [
-            (ballot, attempt.proposal)
-            for ballot, attempt in enumerate(state.attempts, 1)
-            if attempt.proposal is not None
-            and satisfied(attempt.proposal, attempt.votes, self.rules)
+            (ballot, ballot_state.proposal)
+            for ballot, ballot_state in enumerate(state.ballots, 1)
+            if ballot_state.proposal is not None
+            and satisfied(ballot_state.proposal, ballot_state.votes, self.rules)
         ]
 
-    def one_history(self, state: State) -> bool:
-        """Return whether the edits chosen are one growing sequence."""
-        edits = sorted((r.edits for _, r in self.chosen(state)), key=len)
+    def has_one_history(self, state: State) -> bool:
+        """Return whether the chosen edits form one growing sequence."""
+        edits = sorted(
+            (register.edits for _, register in self.chosen(state)), key=len
+        )
         pairs = itertools.pairwise(edits)
         return all(later.startswith(earlier) for earlier, later in pairs)
 
-    def nothing_lost(self, state: State) -> bool:
-        """Return whether each proposal builds on all chosen before it."""
-        proposals = registers_of(state)
+    def loses_no_chosen_edit(self, state: State) -> bool:
+        """Return whether each proposal contains all edits chosen before it."""
+        proposals = proposed_registers(state)
         return all(
-            register.edits.startswith(held.edits)
-            for ballot, held in self.chosen(state)
+            register.edits.startswith(chosen.edits)
+            for ballot, chosen in self.chosen(state)
             for later, register in proposals.items()
             if later > ballot
         )
 
 
-def _at(items: tuple, index: int, item: NamedTuple) -> tuple:
+def _replace_item(items: tuple, index: int, item: NamedTuple) -> tuple:
     return (*items[:index], item, *items[index + 1 :])
 
 
-def _put(
-    state: State, place: int, slot: Slot, index: int, attempt: Attempt
+def _update(
+    state: State,
+    acceptor_index: int,
+    disk: DurableState,
+    index: int,
+    ballot_state: BallotState,
 ) -> State:
     return State(
-        _at(state.slots, place, slot), _at(state.attempts, index, attempt)
+        _replace_item(state.disks, acceptor_index, disk),
+        _replace_item(state.ballots, index, ballot_state),
     )
 
 
 SCHEDULES = (
     Schedule(
-        "edits race, the last one reads who won",
+        "three edits race",
         (Operation("A", edit="x"), Operation("B", edit="y"),
          Operation("C", edit="z")),
     ),
     Schedule(
-        "C is replaced by D while both sides edit",
+        "D replaces C while A and B propose edits",
         (Operation("B", members="ABD"), Operation("A", edit="x"),
          Operation("B", edit="y")),
     ),
     Schedule(
-        "an edit, then two changes of members in a row",
+        "two membership changes in a row, then an edit",
         (Operation("A", members="ABD"), Operation("A", members="AD"),
          Operation("B", edit="x")),
     ),
 )  # fmt: skip
 
-# Each with the schedule in which it shows; a violation found is one even when
-# the search ends early.
+# Each broken rule with the index of the schedule that violates an invariant. A
+# violation counts even if the search stops at `MAX_BROKEN_STATES`.
 BROKEN = {
-    "half is enough": (0, Rules(majority=False)),
+    "half of the votes is enough": (0, Rules(majority=False)),
     "lower ballots are accepted": (0, Rules(refuse_lower=False)),
     "the oldest value is adopted": (0, Rules(adopt_newest=False)),
-    "no majority promises": (0, Rules(majority_to_prepare=False)),
-    "the old members are not asked": (1, Rules(majority_of_old=False)),
-    "a change is built on unsettled": (2, Rules(settle_change_first=False)),
+    "no majority of promises is required": (
+        0,
+        Rules(majority_to_prepare=False),
+    ),
+    "no majority of the old members is required": (
+        1,
+        Rules(majority_of_old=False),
+    ),
+    "an undecided membership change is built upon": (
+        2,
+        Rules(settle_change_first=False),
+    ),
 }
 MAX_STATES = 1_000_000
 MAX_BROKEN_STATES = 40_000
 
 
 def check(schedule: Schedule, rules: Rules, max_states: int) -> dict:
-    """Return what the checker says of a schedule under some rules."""
+    """Return the checker's result for a schedule under the given rules."""
     model = Model(schedule, rules)
     protocol = minicheck.Protocol(
         name=schedule.name,
@@ -326,8 +355,10 @@
             (label, (new,)) for label, new in model.steps(s[0])
         ],
         invariants={
-            "one history": lambda d: model.one_history(d["state"]),
-            "nothing lost": lambda d: model.nothing_lost(d["state"]),
+            "one history of edits": lambda d: model.has_one_history(d["state"]),
+            "no chosen edit is lost": lambda d: model.loses_no_chosen_edit(
+                d["state"]
+            ),
         },
     )
     return minicheck.check_safety(protocol, max_states=max_states)
@@ -335,12 +366,12 @@
 
 def main() -> int:
     """Check all schedules and all broken variants; return the exit status."""
-    good = True
+    passed = True
     for schedule in SCHEDULES:
         result = check(schedule, RULES, MAX_STATES)
-        held = all(p["holds"] for p in result["properties"].values())
-        good = good and held
-        print(f"{schedule.name}: {result['reachable_states']} states: {held}")
+        holds = all(p["holds"] for p in result["properties"].values())
+        passed = passed and holds
+        print(f"{schedule.name}: {result['reachable_states']} states: {holds}")
     for name, (index, rules) in BROKEN.items():
         result = check(SCHEDULES[index], rules, MAX_BROKEN_STATES)
         failed = [
@@ -348,9 +379,9 @@
             for invariant, p in result["properties"].items()
             if p["holds"] is False
         ]
-        good = good and bool(failed)
+        passed = passed and bool(failed)
         print(f"broken: {name}: fails {failed or 'NOTHING'}")
-    return 0 if good else 1
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
--- a/tests/support/conformance.py
+++ b/tests/support/conformance.py
@@ -3,7 +3,7 @@
 from hyssopfold.core.consensus import messages
 from spec import register_spec
 
-_BLANK = register_spec.Slot(messages.NO_BALLOT, messages.NO_BALLOT)
+_BLANK = register_spec.DurableState(messages.NO_BALLOT, messages.NO_BALLOT)
 
 
 def _as_specified(register):
@@ -87,7 +87,9 @@
             save.accepted
         ), "accept"
         promised = max(slot.promised, save.accepted)
-        self._slots[member_id] = register_spec.Slot(promised, save.accepted)
+        self._slots[member_id] = register_spec.DurableState(
+            promised, save.accepted
+        )
         self._votes.setdefault(save.accepted, set()).add(member_id)
         self.steps += 1
 
