--- a/tests/core/consensus/node.feature
+++ b/tests/core/consensus/node.feature
@@ -1,150 +1,151 @@
 Feature: replicated register
-  Two operators edit the same revision at the same moment through two control
-  instances. If both were told "accepted", one of their edits would be lost
-  without a word. Exactly one wins, and the other is told who did.
+  Two operators edit the same revision at the same time through two control
+  instances. If both edits were answered as accepted, one of them would be lost
+  silently. Exactly one edit must be accepted, and the answer to the other must
+  name the accepted one.
 
   Background:
     Given 3 members with seed 1
 
-  Scenario: operators race with edits of one revision
-    When "control-1" gets edit "ana" of revision 0
-    And "control-2" gets edit "bea" of revision 0
+  Scenario: two concurrent edits of one revision
+    When "control-1" receives edit "ana" of revision 0
+    And "control-2" receives edit "bea" of revision 0
     And 8 s pass
-    Then exactly one of "ana" and "bea" is accepted, the other told who won
+    Then exactly one of "ana" and "bea" is accepted, the other names the winner
 
-  Scenario: a late loser is told who took the revision, not who came last
-    When "control-1" gets edit "ana" of revision 0
+  Scenario: a late conflict names the edit of that revision, not the newest
+    When "control-1" receives edit "ana" of revision 0
     And 1 s pass
-    And "control-1" gets edit "cleo" of revision 1
+    And "control-1" receives edit "cleo" of revision 1
     And 1 s pass
-    And "control-2" gets edit "bea" of revision 0
+    And "control-2" receives edit "bea" of revision 0
     And 1 s pass
-    Then edit "bea" lost revision 2 to "ana"
+    Then edit "bea" conflicts at revision 2 with "ana"
 
-  Scenario: a member that is cut off accepts nothing
-    When "control-3" is cut off
-    And "control-3" gets edit "ana" of revision 0
+  Scenario: an isolated member accepts no edit
+    When "control-3" is isolated
+    And "control-3" receives edit "ana" of revision 0
     And 10 s pass
-    Then edit "ana" is certain never to take effect
+    Then edit "ana" is not accepted
 
-  Scenario: a member known to be cut off refuses at once
-    When "control-3" is cut off
+  Scenario: a member that knows of no majority refuses an edit at once
+    When "control-3" is isolated
     And 8 s pass
-    And "control-3" gets edit "ana" of revision 0
+    And "control-3" receives edit "ana" of revision 0
     And 2 s pass
-    Then edit "ana" is certain never to take effect
+    Then edit "ana" is not accepted
 
-  Scenario: an edit cut off between its two phases is unknown, then settled
-    When "control-1" gets edit "ana" of revision 0
+  Scenario: an edit interrupted between its two phases is resent and accepted
+    When "control-1" receives edit "ana" of revision 0
     And messages from "control-2" to "control-1" are lost
     And messages from "control-3" to "control-1" are lost
     And 10 s pass
-    Then edit "ana" is certain never to take effect
-    When all cuts end
-    And "control-2" gets edit "ana" of revision 0
+    Then edit "ana" is not accepted
+    When the network recovers
+    And "control-2" receives edit "ana" of revision 0
     And 2 s pass
     Then edit "ana" is accepted as revision 1
 
-  Scenario: a resent edit gets its first answer again, also elsewhere
-    When "control-1" gets edit "ana" of revision 0
+  Scenario: a resent edit gets its first answer again, also from another member
+    When "control-1" receives edit "ana" of revision 0
     And 1 s pass
     And "control-1" is restarted
-    And "control-2" gets edit "ana" of revision 0
+    And "control-2" receives edit "ana" of revision 0
     And 1 s pass
     Then edit "ana" is accepted as revision 1
 
   Scenario: another edit under a used change id is refused
-    When "control-1" gets edit "ana" of revision 0
+    When "control-1" receives edit "ana" of revision 0
     And 1 s pass
-    And "control-2" gets edit "ana" of revision 1 saying "another text"
+    And "control-2" receives edit "ana" of revision 1 saying "another text"
     And 1 s pass
-    Then edit "ana" is refused, its id being that of revision 1
+    Then edit "ana" is refused, its id is used by revision 1
 
-  Scenario: an accepted edit survives the restart of all
-    When "control-1" gets edit "ana" of revision 0
+  Scenario: an accepted edit survives the restart of all members
+    When "control-1" receives edit "ana" of revision 0
     And 1 s pass
     And "control-1" is restarted
     And "control-2" is restarted
     And "control-3" is restarted
     And 1 s pass
-    And "control-3" gets a read
+    And "control-3" receives a read
     And 1 s pass
-    Then the read shows revision 1
+    Then the read returns revision 1
 
-  Scenario: a minority cannot pass off an old revision as new
-    When "control-3" is cut off
-    And "control-1" gets edit "ana" of revision 0
+  Scenario: a member without a majority does not answer a read
+    When "control-3" is isolated
+    And "control-1" receives edit "ana" of revision 0
     And 1 s pass
-    And "control-3" gets a read
+    And "control-3" receives a read
     And 10 s pass
     Then the read is refused
 
-  Scenario: a member that missed 500 changes catches up at once
+  Scenario: a member that missed 500 edits catches up at once
     When "control-3" is killed
-    And "control-1" gets 500 edits one after another
+    And "control-1" receives 500 edits one after another
     And "control-3" is started
     And 1 s pass
-    Then "control-3" holds revision 500
+    Then "control-3" has learned revision 500
 
-  Scenario: one cut off in silence for long learns all within seconds
-    When "control-3" is cut off
-    And "control-1" gets 20 edits one after another
+  Scenario: a member isolated for a long time catches up within seconds
+    When "control-3" is isolated
+    And "control-1" receives 20 edits one after another
     And 600 s pass
-    And all cuts end
+    And the network recovers
     And 3 s pass
-    Then all agree on revision 20
+    Then all instances agree on revision 20
 
-  Scenario: a one-way cut stops neither the others nor the edit
+  Scenario: a one-way partition does not prevent an edit
     When messages from "control-1" to "control-2" are lost
     And messages from "control-3" to "control-1" are lost
-    And "control-3" gets edit "ana" of revision 0
+    And "control-3" receives edit "ana" of revision 0
     And 8 s pass
     Then edit "ana" is accepted as revision 1
 
-  Scenario: a member frozen for minutes does not hold the others up
+  Scenario: a member frozen for minutes does not block the others
     When "control-2" freezes
-    And "control-1" gets edit "ana" of revision 0
+    And "control-1" receives edit "ana" of revision 0
     And 300 s pass
     Then edit "ana" is accepted as revision 1
-    When "control-2" thaws
+    When "control-2" resumes
     And 3 s pass
-    Then all agree on revision 1
+    Then all instances agree on revision 1
 
-  Scenario: a proposer frozen between its phases accepts nothing late
-    When "control-2" gets edit "ana" of revision 0
+  Scenario: a proposer frozen between its phases loses to a later edit
+    When "control-2" receives edit "ana" of revision 0
     And "control-2" freezes
-    And "control-1" gets edit "bea" of revision 0
+    And "control-1" receives edit "bea" of revision 0
     And 300 s pass
-    And "control-2" thaws
+    And "control-2" resumes
     And 10 s pass
-    Then edit "ana" is certain never to take effect
+    Then edit "ana" is not accepted
     And edit "bea" is accepted as revision 1
-    And all agree on revision 1
+    And all instances agree on revision 1
 
-  Scenario: a full disk stops a member's votes, not the cluster
+  Scenario: a full disk stops the votes of one member only
     When the disk of "control-2" is full
-    And "control-1" gets edit "ana" of revision 0
+    And "control-1" receives edit "ana" of revision 0
     And 2 s pass
     Then edit "ana" is accepted as revision 1
     And "control-2" does not vote: "its disk refuses writes"
-    When "control-2" gets edit "bea" of revision 1
-    Then edit "bea" is certain never to take effect
-    When the disk of "control-2" has room again
+    When "control-2" receives edit "bea" of revision 1
+    Then edit "bea" is not accepted
+    When the storage of "control-2" recovers
     And 3 s pass
     Then "control-2" votes
-    And all agree on revision 1
+    And all instances agree on revision 1
 
-  Scenario: with two full disks nothing is accepted
+  Scenario: with two full disks no edit is accepted
     When the disk of "control-2" is full
     And the disk of "control-3" is full
-    And "control-1" gets edit "ana" of revision 0
+    And "control-1" receives edit "ana" of revision 0
     And 20 s pass
-    Then edit "ana" is certain never to take effect
+    Then edit "ana" is not accepted
 
-  Scenario: idle members write nothing and say little
+  Scenario: idle members write nothing and send few messages
     When 10 s pass
-    Then 100 s of idling cost at most 400 messages and no save
+    Then 100 s without operations cost at most 400 messages and no save
 
-  Scenario: a kill at every save of three edits loses nothing accepted
-    When "control-1" edits 3 times and a kill strikes at every save
-    Then no accepted edit is lost by any of at least 20 kills
+  Scenario: a kill at any save of three edits loses no accepted edit
+    When "control-1" makes 3 edits, with a kill at each save in turn
+    Then no accepted edit is lost in any of at least 20 kills
--- a/tests/core/consensus/query.feature
+++ b/tests/core/consensus/query.feature
@@ -1,17 +1,16 @@
-Feature: a read that asks what the others hold
-  Two operators edit one version at the same moment and both are told
-  "accepted": one of their edits is lost. A member that read in the middle took
-  answers about two ballots for a majority, and told of a revision that was
-  never chosen.
+Feature: a read that queries the accepted ballots of the other members
+  Two concurrent edits of one version were both answered as accepted, and one of
+  them was lost. A member that was running a read counted answers about two
+  ballots as one majority, and reported a revision that was never chosen.
 
-  Scenario: answers from before and after a new ballot make no majority
-    Given a member of 5 that holds revision 4 and reads
-    When 1 other answers that it holds revision 4
+  Scenario: answers about two different ballots are not counted together
+    Given a read at one of 5 members that has accepted revision 4
+    When 1 other member answers that it has accepted revision 4
     And the member accepts a proposed revision 5
-    And 1 other answers that it holds the proposed revision 5
-    Then the member takes revision 5 for chosen no more than the others do
+    And 1 other member answers that it has accepted the proposed revision 5
+    Then the reading member does not treat revision 5 as chosen
 
-  Scenario: a majority that holds one ballot is enough
-    Given a member of 5 that holds revision 4 and reads
-    When 2 others answer that they hold revision 4
-    Then the member's read ends with revision 4
+  Scenario: a majority with the same ballot completes the read
+    Given a read at one of 5 members that has accepted revision 4
+    When 2 other members answer that they have accepted revision 4
+    Then the read of the member returns revision 4
--- a/tests/core/consensus/races.feature
+++ b/tests/core/consensus/races.feature
@@ -1,12 +1,13 @@
-Feature: operators race while others read, among members in several regions
-  Two edits of one revision must not both be accepted, whatever reads come in
-  between. Among five members a read waits for two others' answers, which can
-  be from before and after a ballot; among three for one only.
+Feature: concurrent edits and reads among members in several regions
+  Two edits of one revision must not both be accepted, whatever reads run
+  between them. With five members a read waits for the answers of two others,
+  which may have been sent before and after a new ballot; with three members it
+  waits for one answer only.
 
-  Scenario Outline: races of two edits with reads at random, seed <seed>
-    Given 5 members with seed <seed> that are 20 to 60 ms apart
-    When 30 times two members get an edit each, and random ones are read
-    Then no two edits of one revision were accepted
+  Scenario Outline: two concurrent edits with random reads, seed <seed>
+    Given 5 members with seed <seed> and message delays of 20 to 60 ms
+    When 30 times two edits race while random members receive reads
+    Then at most one edit of each revision was accepted
 
     Examples:
       | seed |
--- a/tests/core/consensus/random.feature
+++ b/tests/core/consensus/random.feature
@@ -1,31 +1,31 @@
 Feature: random runs of the replicated register
-  Any failure may come at any moment, together or twice: messages lost, doubled
-  and late, one-way cuts, kills at a save, blank disks, freezes, full disks,
-  members added and removed. Whatever comes, an accepted edit stays and a
-  refused one never appears.
+  Failures occur at any time, also repeatedly and at the same time: lost,
+  duplicated and late messages, one-way partitions, kills at a save, blank
+  disks, frozen processes, full disks, and members added and removed. In every
+  case an accepted edit must stay and a refused edit must never appear.
 
   Scenario: random runs under failures
-    When members run at random under failures one at a time and in pairs
-    Then every invariant of the register held
+    When random operations run under single and double failures
+    Then every invariant of the register holds
 
-  Scenario: random runs in which dismissed members vote again
-    A member that was cut off keeps its data and its promises. Let in again
-    under its old id it must not bring back what was decided without it.
+  Scenario: random runs in which removed members vote again
+    An isolated member keeps its data and its promises. When it is added again
+    under its old id, it must not undo decisions that were made without it.
 
-    When members run at random while silent ones are dismissed and come back
-    Then every invariant of the register held
+    When random operations run while members are removed and added again
+    Then every invariant of the register holds
 
-  Scenario Outline: a broken rule is caught by <judge>: <rule>
+  Scenario Outline: a broken rule is detected by <checker>: <rule>
     Given members that break the rule <rule>
-    Then the broken members are caught by <judge>: <what>
+    Then the broken members are detected by <checker>: <message>
 
     Examples:
-      | rule                           | judge             | what                                |
+      | rule                           | checker           | message                             |
       | a blank disk is another member | the history       | accepted is on a majority's disks   |
       | a majority decides             | the history       | one value for one revision          |
       | a blank disk is another member | the specification | learned is chosen                   |
       | a majority decides             | the specification | propose                             |
 
-  Scenario: a revision in force that falls is caught by the history
+  Scenario: the history detects a revision in force that falls
     When a member learns revision 2 and then revision 1
-    Then the history says that the revision in force never falls
+    Then the history check fails with the revision in force never falls
--- a/tests/steps/core/consensus/discovery_steps.py
+++ b/tests/steps/core/consensus/discovery_steps.py
@@ -11,189 +11,195 @@
 
 
 @given(
-    "{count:d} discovering members of which {seeds:d} are seeds, with seed {seed:d}"
+    "{count:d} discovery members with {seeds:d} seed addresses and seed"
+    " {seed:d}"
 )
 def _(context, count, seeds, seed):
-    context.found = fake_discovery.FakeDiscovery(seeds, count, seed)
-    context.found_requests = {}
+    context.discovery = fake_discovery.FakeDiscovery(seeds, count, seed)
+    context.discovery_requests = {}
 
 
-@given("3 blank discovering members long after the first start")
+@given("3 blank discovery members without a first start")
 def _(context):
-    context.found = fake_discovery.FakeDiscovery(3, 3, 9)
-    context.found.first_start = False
-    for name in list(context.found.names):
-        context.found.wipe(name)
-        context.found.start(name)
+    context.discovery = fake_discovery.FakeDiscovery(3, 3, 9)
+    context.discovery.first_start = False
+    for name in list(context.discovery.names):
+        context.discovery.wipe(name)
+        context.discovery.start(name)
 
 
-@when("discovery runs for {seconds:d} s")
+@when("the discovery members run for {seconds:d} s")
 def _(context, seconds):
-    context.found.run(seconds)
+    context.discovery.run(seconds)
 
 
-@when('discovered "{name}" is lost for good')
+@when('discovery member "{name}" stops for good')
 def _(context, name):
-    context.found.crash(name)
+    context.discovery.crash(name)
 
 
-@when('a discovering newcomer "{name}" starts')
+@when('new discovery member "{name}" starts')
 def _(context, name):
-    context.found.first_start = False
-    context.found.add_instance(name)
+    context.discovery.first_start = False
+    context.discovery.add_instance(name)
 
 
-@when('discovered "{name}" comes back on a blank disk')
+@when('discovery member "{name}" restarts on a blank disk')
 def _(context, name):
-    context.found.first_start = False
-    context.found.wipe(name)
-    context.found.start(name)
+    context.discovery.first_start = False
+    context.discovery.wipe(name)
+    context.discovery.start(name)
 
 
 @when(
-    'discovered "{name}" or a seed gets edit "{change}" of revision {revision:d}'
+    'discovery member "{name}" or a seed receives edit "{change}" of revision'
+    " {revision:d}"
 )
 def _(context, name, change, revision):
-    # An operator whose instance does not vote yet asks another one.
-    asked = name if context.found.voting(name) else "control-1"
-    _edit(context, asked, change, revision)
+    # If the instance does not vote yet, the operator uses another one.
+    receiver = name if context.discovery.voting(name) else "control-1"
+    _edit(context, receiver, change, revision)
 
 
-def _edit(context, asked, change, revision):
-    number = len(context.found_requests) + 1
-    context.found_requests[change] = number
+def _edit(context, receiver, change, revision):
+    number = len(context.discovery_requests) + 1
+    context.discovery_requests[change] = number
     edit = messages.Edit(number, change, revision, change.encode())
-    context.found.submit(asked, edit)
+    context.discovery.submit(receiver, edit)
 
 
-@then("all {count:d} discovered members vote")
+@then("all {count:d} discovery members vote")
 def _(context, count):
-    assert context.found.all_vote(), context.found.members()
-    assert len(context.found.members()) == count, context.found.members()
+    assert context.discovery.all_vote(), context.discovery.members()
+    assert len(context.discovery.members()) == count, (
+        context.discovery.members()
+    )
 
 
-@then('discovered "{name}" votes')
+@then('discovery member "{name}" votes')
 def _(context, name):
-    assert context.found.voting(name), context.found.members()
+    assert context.discovery.voting(name), context.discovery.members()
 
 
-@then('discovered "{name}" votes no more')
+@then('discovery member "{name}" is no longer a voter')
 def _(context, name):
-    assert name not in context.found.members(), context.found.members()
+    assert name not in context.discovery.members(), context.discovery.members()
 
 
-@then('the discovered edit "{change}" is accepted')
+@then('the discovery edit "{change}" is accepted')
 def _(context, change):
-    result = context.found.results.get(context.found_requests[change])
+    result = context.discovery.results.get(context.discovery_requests[change])
     assert isinstance(result, messages.EditAccepted), result
 
 
-@then("no discovered member holds anything")
+@then("every discovery member is blank")
 def _(context):
-    for name, member in context.found.nodes.items():
+    for name, member in context.discovery.nodes.items():
         assert member.replica.is_blank, name
 
 
-@then("{votes:d} discovered members vote and {others:d} do not")
+@then("{votes:d} discovery members vote and {others:d} do not")
 def _(context, votes, others):
-    members = context.found.members()
+    members = context.discovery.members()
     assert len(members) == votes, members
-    context.found_others = sorted(set(context.found.names) - members)
-    assert len(context.found_others) == others, context.found_others
+    context.non_voters = sorted(set(context.discovery.names) - members)
+    assert len(context.non_voters) == others, context.non_voters
 
 
-@when("a discovered member that does not vote is read")
+@when("a discovery member that does not vote receives a read")
 def _(context):
-    context.found.submit(context.found_others[0], messages.Read(101))
+    context.discovery.submit(context.non_voters[0], messages.Read(101))
 
 
-@when("a discovered member that does not vote gets an edit")
+@when("a discovery member that does not vote receives an edit")
 def _(context):
     edit = messages.Edit(102, "late", 0, b"value")
-    context.found.submit(context.found_others[0], edit)
+    context.discovery.submit(context.non_voters[0], edit)
 
 
-@then("the discovered read is done and the edit is not accepted")
+@then("the discovery read is done and the edit is not accepted")
 def _(context):
-    results = context.found.results
+    results = context.discovery.results
     assert isinstance(results[101], messages.ReadDone), results[101]
     assert isinstance(results[102], messages.EditNotAccepted), results[102]
 
 
-@when("both discovered members that do not vote are cut off and one is read")
+@when("both non-voting discovery members are isolated and one receives a read")
 def _(context):
-    for name in context.found_others:
-        context.found.isolate(name)
-    context.found.submit(context.found_others[0], messages.Read(103))
+    for name in context.non_voters:
+        context.discovery.isolate(name)
+    context.discovery.submit(context.non_voters[0], messages.Read(103))
 
 
-@then("the last discovered read is not done")
+@then("the last discovery read is not done")
 def _(context):
-    result = context.found.results.get(103)
+    result = context.discovery.results.get(103)
     assert not isinstance(result, messages.ReadDone), result
 
 
-@when("a discovered voter is cut off for {seconds:d} s")
+@when("a discovery voter is isolated for {seconds:d} s")
 def _(context, seconds):
-    context.found_cut = max(context.found.members())
-    context.found.isolate(context.found_cut)
-    context.found.run(seconds)
-    context.found_members_then = context.found.members()
-    context.found.heal()
+    context.isolated_voter = max(context.discovery.members())
+    context.discovery.isolate(context.isolated_voter)
+    context.discovery.run(seconds)
+    context.members_during_isolation = context.discovery.members()
+    context.discovery.heal()
 
 
-@then("the discovered voter that was cut off votes no more")
+@then("the isolated discovery voter is no longer a voter")
 def _(context):
-    assert context.found_cut not in context.found_members_then
+    assert context.isolated_voter not in context.members_during_isolation
 
 
-@when("another discovered voter is lost for good")
+@when("another discovery voter stops for good")
 def _(context):
-    running = set(context.found.nodes) - {context.found_cut}
-    name = max(context.found.members() & running)
-    context.found.crash(name)
+    running = set(context.discovery.nodes) - {context.isolated_voter}
+    name = max(context.discovery.members() & running)
+    context.discovery.crash(name)
 
 
-@then("the discovered voter that was cut off votes again")
+@then("the isolated discovery voter votes again")
 def _(context):
-    assert context.found.voting(context.found_cut), context.found.members()
+    assert context.discovery.voting(context.isolated_voter), (
+        context.discovery.members()
+    )
 
 
 @when(
-    'the discovered voter that was cut off gets edit "{change}" of revision'
+    'the isolated discovery voter receives edit "{change}" of revision'
     " {revision:d}"
 )
 def _(context, change, revision):
-    _edit(context, context.found_cut, change, revision)
+    _edit(context, context.isolated_voter, change, revision)
 
 
-def _by_region(found):
-    held = collections.defaultdict(set)
-    for name in found.members():
-        held[found.region_of(name)].add(name)
-    return held
+def _voters_by_region(discovery):
+    voters = collections.defaultdict(set)
+    for name in discovery.members():
+        voters[discovery.region_of(name)].add(name)
+    return voters
 
 
-@then("no region holds more than {most:d} discovered votes")
+@then("no region has more than {most:d} discovery voters")
 def _(context, most):
-    held = _by_region(context.found)
-    assert max(map(len, held.values())) <= most, held
+    voters = _voters_by_region(context.discovery)
+    assert max(map(len, voters.values())) <= most, voters
 
 
-@when("the region with most discovered votes is lost")
+@when("the region with most discovery voters stops")
 def _(context):
-    found = context.found
-    held = _by_region(found)
-    region = max(held, key=lambda one: (len(held[one]), one))
-    for name in list(found.nodes):
-        if found.region_of(name) == region:
-            found.crash(name)
+    discovery = context.discovery
+    voters = _voters_by_region(discovery)
+    region = max(voters, key=lambda region: (len(voters[region]), region))
+    for name in list(discovery.nodes):
+        if discovery.region_of(name) == region:
+            discovery.crash(name)
 
 
 @when(
-    'a discovered voter that is left gets edit "{change}" of revision'
+    'a remaining discovery voter receives edit "{change}" of revision'
     " {revision:d}"
 )
 def _(context, change, revision):
-    left = context.found.members() & set(context.found.nodes)
-    _edit(context, min(left), change, revision)
+    remaining = context.discovery.members() & set(context.discovery.nodes)
+    _edit(context, min(remaining), change, revision)
--- a/tests/steps/core/consensus/node_steps.py
+++ b/tests/steps/core/consensus/node_steps.py
@@ -65,17 +65,20 @@
     context.members.submit(name, event)
 
 
-@when('"{name}" gets edit "{change_id}" of revision {expect:d}')
+@when('"{name}" receives edit "{change_id}" of revision {expect:d}')
 def _(context, name, change_id, expect):
     _edit(context, name, change_id, expect)
 
 
-@when('"{name}" gets edit "{change_id}" of revision {expect:d} saying "{text}"')
+@when(
+    '"{name}" receives edit "{change_id}" of revision {expect:d} saying'
+    ' "{text}"'
+)
 def _(context, name, change_id, expect, text):
     _edit(context, name, change_id, expect, text)
 
 
-@when('"{name}" gets {count:d} edits one after another')
+@when('"{name}" receives {count:d} edits one after another')
 def _(context, name, count):
     for number in range(count):
         expect = context.members.nodes[name].learned.revision
@@ -89,7 +92,7 @@
     context.members.submit(name, make(request))
 
 
-@when('"{name}" gets a read')
+@when('"{name}" receives a read')
 def _(context, name):
     _ask(context, name, messages.Read)
 
@@ -109,7 +112,7 @@
     context.members.run(seconds)
 
 
-@when('"{name}" is cut off')
+@when('"{name}" is isolated')
 def _(context, name):
     context.members.isolate(name)
 
@@ -119,7 +122,7 @@
     context.members.cut.add((one, two))
 
 
-@when("all cuts end")
+@when("the network recovers")
 def _(context):
     context.members.heal()
 
@@ -144,18 +147,18 @@
     context.members.freeze(name)
 
 
-@when('"{name}" thaws')
+@when('"{name}" resumes')
 def _(context, name):
     context.members.thaw(name)
 
 
-@when('"{name}" loses its disk and comes back blank')
+@when('"{name}" restarts on a blank disk')
 def _(context, name):
     context.members.wipe(name)
     context.members.start(name)
 
 
-@when('"{name}" loses its disk and stays down')
+@when('"{name}" loses its disk and stays stopped')
 def _(context, name):
     context.members.wipe(name)
 
@@ -165,7 +168,7 @@
     context.copy = context.members.disks[name].copy()
 
 
-@when('the copy is put back on "{name}" and started')
+@when('"{name}" is started with the copy')
 def _(context, name):
     context.members.crash(name)
     context.members.disks[name] = context.copy
@@ -177,27 +180,29 @@
     context.members.disks[name].full = True
 
 
-@when('the disk of "{name}" is emptied')
+@when('the disk of "{name}" is freed')
 def _(context, name):
     context.members.disks[name].full = False
 
 
-@when('the disk of "{name}" has room again')
+@when('the storage of "{name}" recovers')
 def _(context, name):
     context.members.recover_storage(name)
 
 
-@when('a further instance "{name}" starts blank')
+@when('a new instance "{name}" starts blank')
 def _(context, name):
     context.members.add_instance(name)
 
 
-@when("all of them vote again")
+@when("all instances vote again")
 def _(context):
     assert context.members.run_until(lambda: _all_vote(context), _FORM_S)
 
 
-@then('exactly one of "{one}" and "{two}" is accepted, the other told who won')
+@then(
+    'exactly one of "{one}" and "{two}" is accepted, the other names the winner'
+)
 def _(context, one, two):
     results = {name: _result(context, name) for name in (one, two)}
     accepted = [
@@ -211,13 +216,13 @@
     assert results[loser] == messages.EditConflict(1, winner), results
 
 
-@then('edit "{change_id}" is certain never to take effect')
+@then('edit "{change_id}" is not accepted')
 def _(context, change_id):
     result = _result(context, change_id)
     assert isinstance(result, messages.EditNotAccepted), result
 
 
-@then('the outcome of edit "{change_id}" is not known')
+@then('the outcome of edit "{change_id}" is unknown')
 def _(context, change_id):
     result = _result(context, change_id)
     assert result == messages.OutcomeUnknown(), result
@@ -234,19 +239,19 @@
     assert result == messages.EditAccepted(revision), result
 
 
-@then('edit "{change_id}" lost revision {revision:d} to "{winner}"')
+@then('edit "{change_id}" conflicts at revision {revision:d} with "{winner}"')
 def _(context, change_id, revision, winner):
     result = _result(context, change_id)
     assert result == messages.EditConflict(revision, winner), result
 
 
-@then('edit "{change_id}" is refused, its id being that of revision {number:d}')
+@then('edit "{change_id}" is refused, its id is used by revision {number:d}')
 def _(context, change_id, number):
     result = _result(context, change_id)
     assert result == messages.ChangeIdReused(number), result
 
 
-@then("the read shows revision {revision:d}")
+@then("the read returns revision {revision:d}")
 def _(context, revision):
     result = context.members.results[context.last]
     assert isinstance(result, messages.ReadDone), result
@@ -274,7 +279,7 @@
     assert reason in result.reason, result.reason
 
 
-@then('"{name}" holds revision {revision:d}')
+@then('"{name}" has learned revision {revision:d}')
 def _(context, name, revision):
     found = context.members.nodes[name].learned.revision
     assert found == revision, found
@@ -291,12 +296,12 @@
     assert reason in fault, fault
 
 
-@then('"{name}" holds nothing and does not form a cluster')
+@then('"{name}" stays blank and forms no cluster')
 def _(context, name):
     assert context.members.nodes[name].replica.is_blank
 
 
-@then("all agree on revision {revision:d}")
+@then("all instances agree on revision {revision:d}")
 def _(context, revision):
     registers = {node.learned for node in context.members.nodes.values()}
     assert len(registers) == 1, registers
@@ -305,7 +310,9 @@
     context.history.check_final(register)
 
 
-@then("{count:d} s of idling cost at most {most:d} messages and no save")
+@then(
+    "{count:d} s without operations cost at most {most:d} messages and no save"
+)
 def _(context, count, most):
     sent, saves = context.members.sent, context.members.saves
     context.members.run(count)
@@ -314,7 +321,7 @@
     assert cost <= most, cost
 
 
-@when('"{name}" edits {edits:d} times and a kill strikes at every save')
+@when('"{name}" makes {edits:d} edits, with a kill at each save in turn')
 def _(context, name, edits):
     """Run anew for each save point of the edits, with a kill there."""
     context.kills = []
@@ -355,12 +362,12 @@
     context.history.check_final(registers.pop())
 
 
-@then("at least {count:d} steps conformed")
+@then("at least {count:d} steps conform to the specification")
 def _(context, count):
     assert context.replay.steps >= count, context.replay.steps
 
 
-@then("no accepted edit is lost by any of at least {count:d} kills")
+@then("no accepted edit is lost in any of at least {count:d} kills")
 def _(context, count):
     assert len(context.kills) >= count, len(context.kills)
 
@@ -387,17 +394,17 @@
     stateful.run_state_machine_as_test(machine, settings=settings)
 
 
-@when("members run at random under failures one at a time and in pairs")
+@when("random operations run under single and double failures")
 def _(context):
     _run_machine(fake_members.node.Node)
 
 
-@when("members run at random while silent ones are dismissed and come back")
+@when("random operations run while members are removed and added again")
 def _(context):
     _run_machine(fake_members.node.Node, register_machine.ReturningMachine)
 
 
-@then("every invariant of the register held")
+@then("every invariant of the register holds")
 def _(context):
     """The run raises when one does not."""
 
@@ -407,10 +414,10 @@
     context.broken = rule
 
 
-@then("the broken members are caught by {judge}: {what}")
-def _(context, judge, what):
-    caught = broken_members.catch(context.broken, judge, what)
-    assert what in caught, caught
+@then("the broken members are detected by {checker}: {message}")
+def _(context, checker, message):
+    caught = broken_members.catch(context.broken, checker, message)
+    assert message in caught, caught
 
 
 @when("a member learns revision {high:d} and then revision {low:d}")
@@ -423,13 +430,13 @@
     ]
 
 
-@then("the history says that {what}")
-def _(context, what):
+@then("the history check fails with {message}")
+def _(context, message):
     first, second = context.learned
     context.history.observe("control-1", messages.Learned(first))
     try:
         context.history.observe("control-1", messages.Learned(second))
     except AssertionError as exc:
-        assert what in str(exc), exc
+        assert message in str(exc), exc
         return
     raise AssertionError("the history found nothing")
--- a/tests/steps/core/consensus/query_steps.py
+++ b/tests/steps/core/consensus/query_steps.py
@@ -25,7 +25,9 @@
     )
 
 
-@given("a member of {count:d} that holds revision {revision:d} and reads")
+@given(
+    "a read at one of {count:d} members that has accepted revision {revision:d}"
+)
 def _(context, count, revision):
     members = tuple(_member(number) for number in range(1, count + 1))
     context.register = messages.Register(
@@ -51,8 +53,8 @@
         )
 
 
-@when("{count:d} other answers that it holds revision 4")
-@when("{count:d} others answer that they hold revision 4")
+@when("{count:d} other member answers that it has accepted revision 4")
+@when("{count:d} other members answer that they have accepted revision 4")
 def _(context, count):
     _answer(context, count, _OLD)
 
@@ -64,7 +66,10 @@
     assert context.replica.vote(vote, context.effects) is not None
 
 
-@when("{count:d} other answers that it holds the proposed revision 5")
+@when(
+    "{count:d} other member answers that it has accepted the proposed"
+    " revision 5"
+)
 def _(context, count):
     _answer(context, count, _NEW)
 
@@ -77,13 +82,13 @@
     ]
 
 
-@then("the member takes revision 5 for chosen no more than the others do")
+@then("the reading member does not treat revision 5 as chosen")
 def _(context):
     assert context.replica.chosen_ballot < _NEW, context.replica.chosen
     assert not _results(context), _results(context)
 
 
-@then("the member's read ends with revision {revision:d}")
+@then("the read of the member returns revision {revision:d}")
 def _(context, revision):
     (result,) = _results(context)
     assert result.register.revision == revision, result
--- a/tests/steps/core/consensus/races_steps.py
+++ b/tests/steps/core/consensus/races_steps.py
@@ -15,7 +15,8 @@
 
 
 @given(
-    "{count:d} members with seed {seed:d} that are {low:d} to {high:d} ms apart"
+    "{count:d} members with seed {seed:d} and message delays of {low:d} to"
+    " {high:d} ms"
 )
 def _(context, count, seed, low, high):
     network = fake_members.Network(0.0, 0.0, low / 1000, high / 1000)
@@ -47,11 +48,11 @@
     return sum(isinstance(one, messages.EditAccepted) for one in results)
 
 
-@when("{times:d} times two members get an edit each, and random ones are read")
+@when("{times:d} times two edits race while random members receive reads")
 def _(context, times):
     context.accepted = [_race(context, number) for number in range(times)]
 
 
-@then("no two edits of one revision were accepted")
+@then("at most one edit of each revision was accepted")
 def _(context):
     assert max(context.accepted) == 1, context.accepted
--- a/tests/steps/storage/folder_steps.py
+++ b/tests/steps/storage/folder_steps.py
@@ -30,18 +30,18 @@
     context.folder.write(name, second.encode())
 
 
-@when('a crash leaves half of a new record "{name}"')
+@when('a crash leaves a temporary file with half of the record "{name}"')
 def _(context, name):
     path = context.folder.path
     whole = (path / name).read_bytes()
     (path / f"{name}.new").write_bytes(whole[: len(whole) // 2])
 
 
-@when('byte {place:d} of the record "{name}" flips')
-def _(context, place, name):
+@when('byte {offset:d} of the record "{name}" flips')
+def _(context, offset, name):
     path = context.folder.path / name
     data = bytearray(path.read_bytes())
-    data[place] ^= 0xFF
+    data[offset] ^= 0xFF
     path.write_bytes(data)
 
 
@@ -50,7 +50,7 @@
     assert context.folder.read(name) == text.encode()
 
 
-@then('reading the record "{name}" says that it is corrupt')
+@then('reading the record "{name}" fails as corrupt')
 def _(context, name):
     try:
         context.folder.read(name)
@@ -59,7 +59,7 @@
     raise AssertionError("the record was read")
 
 
-@then("a second opening is refused")
+@then("opening the folder a second time is refused")
 def _(context):
     try:
         folder.DataFolder(str(context.folder.path))
--- a/tests/steps/storage/records_steps.py
+++ b/tests/steps/storage/records_steps.py
@@ -93,26 +93,23 @@
             context.held.append(held)
 
 
-@when("votes are saved with a crash at every point of the disk")
+@when("votes are saved with a crash at each disk operation in turn")
 def _(context):
     _crash_everywhere(context, fake_disk.FakeDisk)
 
 
-@when("votes are saved with a crash at every point of a disk without syncs")
+@when("votes are saved on a disk without syncs, with a crash at each operation")
 def _(context):
     _crash_everywhere(context, fake_disk.UnsyncedDisk)
 
 
-@then(
-    "after each of at least {count:d} crashes the votes told are held,"
-    " none torn"
-)
+@then("after each of at least {count:d} crashes every confirmed vote is intact")
 def _(context, count):
     assert len(context.held) >= count, len(context.held)
     assert all(context.held)
 
 
-@then("some vote that was told is missing")
+@then("some confirmed vote is missing")
 def _(context):
     assert not all(context.held)
 
@@ -133,7 +130,7 @@
     context.disk.full = True
 
 
-@then("saving a vote is refused, naming the remedy")
+@then("saving a vote fails and the error names the remedy")
 def _(context):
     context.disk.full = False
     data, kept = _open(context)
@@ -149,12 +146,12 @@
         data.close()
 
 
-@when("there is room under the records again")
+@when("the disk under the records has free space again")
 def _(context):
     context.disk.full = False
 
 
-@then("the vote before is held")
+@then("the previous vote is loaded")
 def _(context):
     data, kept = _open(context)
     _, durable = kept.open(_ADDRESS)
