--- a/tests/core/consensus/random.feature
+++ b/tests/core/consensus/random.feature
@@ -20,11 +20,11 @@
     Then the broken members are detected by <checker>: <message>
 
     Examples:
-      | rule                           | checker           | message                             |
-      | a blank disk is another member | the history       | accepted is on a majority's disks   |
-      | a majority decides             | the history       | one value for one revision          |
-      | a blank disk is another member | the specification | learned is chosen                   |
-      | a majority decides             | the specification | propose                             |
+      | rule                           | checker           | message                                   |
+      | a blank disk is another member | the history       | an accepted edit is on a majority's disks |
+      | a majority decides             | the history       | one value for one revision                |
+      | a blank disk is another member | the specification | a learned register is chosen              |
+      | a majority decides             | the specification | the proposal is allowed                   |
 
   Scenario: the history detects a revision in force that falls
     When a member learns revision 2 and then revision 1
--- a/tests/steps/core/consensus/discovery_steps.py
+++ b/tests/steps/core/consensus/discovery_steps.py
@@ -57,7 +57,7 @@
 )
 def _(context, name, change, revision):
     # If the instance does not vote yet, the operator uses another one.
-    receiver = name if context.discovery.voting(name) else "control-1"
+    receiver = name if context.discovery.is_voting(name) else "control-1"
     _edit(context, receiver, change, revision)
 
 
@@ -78,7 +78,7 @@
 
 @then('discovery member "{name}" votes')
 def _(context, name):
-    assert context.discovery.voting(name), context.discovery.members()
+    assert context.discovery.is_voting(name), context.discovery.members()
 
 
 @then('discovery member "{name}" is no longer a voter')
@@ -160,7 +160,7 @@
 
 @then("the isolated discovery voter votes again")
 def _(context):
-    assert context.discovery.voting(context.isolated_voter), (
+    assert context.discovery.is_voting(context.isolated_voter), (
         context.discovery.members()
     )
 
--- a/tests/steps/core/consensus/node_steps.py
+++ b/tests/steps/core/consensus/node_steps.py
@@ -23,7 +23,7 @@
     return context.members.results.get(context.requests[change_id])
 
 
-def _begin(context, count, seed, network):
+def _form_cluster(context, count, seed, network):
     context.members = fake_members.FakeMembers(count, seed, network)
     context.history = register_history.History(context.members)
     context.replay = conformance.Replay(context.members)
@@ -32,18 +32,20 @@
 
 
 def _all_vote(context):
-    return all(context.members.voting(name) for name in context.members.names)
+    return all(
+        context.members.is_voting(name) for name in context.members.names
+    )
 
 
 @given("{count:d} members with seed {seed:d}")
 def _(context, count, seed):
-    _begin(context, count, seed, fake_members.Network())
+    _form_cluster(context, count, seed, fake_members.Network())
 
 
 @given("{count:d} members with seed {seed:d} on a network that loses a tenth")
 def _(context, count, seed):
     network = fake_members.Network(0.1, 0.1, 0.001, 0.1)
-    _begin(context, count, seed, network)
+    _form_cluster(context, count, seed, network)
 
 
 @given("{count:d} blank instances with seed {seed:d} that are not started")
@@ -86,25 +88,25 @@
         context.members.run(1)
 
 
-def _ask(context, name, make):
+def _submit(context, name, make_operation):
     request = 10_000 + len(context.members.results)
-    context.last = request
-    context.members.submit(name, make(request))
+    context.last_request = request
+    context.members.submit(name, make_operation(request))
 
 
 @when('"{name}" receives a read')
 def _(context, name):
-    _ask(context, name, messages.Read)
+    _submit(context, name, messages.Read)
 
 
 @when('"{name}" is asked to add the member "{new}"')
 def _(context, name, new):
-    _ask(context, name, lambda request: messages.AddMember(request, new))
+    _submit(context, name, lambda request: messages.AddMember(request, new))
 
 
 @when('"{name}" is asked to remove the member "{old}"')
 def _(context, name, old):
-    _ask(context, name, lambda request: messages.RemoveMember(request, old))
+    _submit(context, name, lambda request: messages.RemoveMember(request, old))
 
 
 @when("{seconds:d} s pass")
@@ -117,9 +119,9 @@
     context.members.isolate(name)
 
 
-@when('messages from "{one}" to "{two}" are lost')
-def _(context, one, two):
-    context.members.cut.add((one, two))
+@when('messages from "{sender}" to "{receiver}" are lost')
+def _(context, sender, receiver):
+    context.members.cut_links.add((sender, receiver))
 
 
 @when("the network recovers")
@@ -201,10 +203,11 @@
 
 
 @then(
-    'exactly one of "{one}" and "{two}" is accepted, the other names the winner'
+    'exactly one of "{first}" and "{second}" is accepted, the other names the'
+    " winner"
 )
-def _(context, one, two):
-    results = {name: _result(context, name) for name in (one, two)}
+def _(context, first, second):
+    results = {name: _result(context, name) for name in (first, second)}
     accepted = [
         name
         for name, result in results.items()
@@ -212,7 +215,7 @@
     ]
     assert len(accepted) == 1, results
     (winner,) = accepted
-    loser = two if winner == one else one
+    loser = second if winner == first else first
     assert results[loser] == messages.EditConflict(1, winner), results
 
 
@@ -253,41 +256,41 @@
 
 @then("the read returns revision {revision:d}")
 def _(context, revision):
-    result = context.members.results[context.last]
+    result = context.members.results[context.last_request]
     assert isinstance(result, messages.ReadDone), result
     assert result.register.revision == revision, result.register.revision
 
 
 @then("the read is refused")
 def _(context):
-    result = context.members.results[context.last]
+    result = context.members.results[context.last_request]
     assert isinstance(result, messages.EditNotAccepted), result
 
 
 @then("the members are {names}")
 def _(context, names):
-    result = context.members.results[context.last]
+    result = context.members.results[context.last_request]
     assert isinstance(result, messages.MembersChanged), result
-    found = [member.name for member in result.members]
-    assert found == re.findall(r'"(.*?)"', names), found
+    members = [member.name for member in result.members]
+    assert members == re.findall(r'"(.*?)"', names), members
 
 
 @then('the change of members is refused: "{reason}"')
 def _(context, reason):
-    result = context.members.results[context.last]
+    result = context.members.results[context.last_request]
     assert isinstance(result, messages.EditNotAccepted), result
     assert reason in result.reason, result.reason
 
 
 @then('"{name}" has learned revision {revision:d}')
 def _(context, name, revision):
-    found = context.members.nodes[name].learned.revision
-    assert found == revision, found
+    learned = context.members.nodes[name].learned.revision
+    assert learned == revision, learned
 
 
 @then('"{name}" votes')
 def _(context, name):
-    assert context.members.voting(name), context.members.nodes[name].fault
+    assert context.members.is_voting(name), context.members.nodes[name].fault
 
 
 @then('"{name}" does not vote: "{reason}"')
@@ -323,13 +326,13 @@
 
 @when('"{name}" makes {edits:d} edits, with a kill at each save in turn')
 def _(context, name, edits):
-    """Run anew for each save point of the edits, with a kill there."""
+    """Repeat the edits with a kill before and after each save in turn."""
     context.kills = []
     for place in ("before", "after"):
         for ahead in range(1, 500):
-            _begin(context, 3, ahead, fake_members.Network())
-            first = context.members.saves
-            context.members.crash_at_save = {first + ahead: place}
+            _form_cluster(context, 3, ahead, fake_members.Network())
+            saves = context.members.saves
+            context.members.crash_at_save = {saves + ahead: place}
             for number in range(edits):
                 _edit_until_accepted(context, name, number)
             _check_kill(context)
@@ -339,7 +342,7 @@
 
 
 def _edit_until_accepted(context, name, number):
-    """Send an edit, and again each time that its outcome is not known."""
+    """Send an edit, and resend it until it is accepted."""
     change_id = f"edit-{number}"
     accepted = messages.EditAccepted(number + 1)
     for _ in range(5):
@@ -355,7 +358,7 @@
 
 
 def _check_kill(context):
-    """All must agree and hold what was accepted."""
+    """Check that all members agree and have every accepted edit."""
     assert context.members.run_until(lambda: _all_vote(context), _FORM_S)
     registers = {node.learned for node in context.members.nodes.values()}
     assert len(registers) == 1, registers
@@ -406,18 +409,18 @@
 
 @then("every invariant of the register holds")
 def _(context):
-    """The run raises when one does not."""
+    """The random run raises if an invariant is violated."""
 
 
 @given("members that break the rule {rule}")
 def _(context, rule):
-    context.broken = rule
+    context.broken_rule = rule
 
 
 @then("the broken members are detected by {checker}: {message}")
 def _(context, checker, message):
-    caught = broken_members.catch(context.broken, checker, message)
-    assert message in caught, caught
+    failure = broken_members.catch(context.broken_rule, checker, message)
+    assert message in failure, failure
 
 
 @when("a member learns revision {high:d} and then revision {low:d}")
@@ -439,4 +442,4 @@
     except AssertionError as exc:
         assert message in str(exc), exc
         return
-    raise AssertionError("the history found nothing")
+    raise AssertionError("the history accepted the second revision")
--- a/tests/steps/core/consensus/query_steps.py
+++ b/tests/steps/core/consensus/query_steps.py
@@ -14,7 +14,7 @@
 _NEW = messages.Ballot(6, "i5")
 
 
-class _View:
+class _PeerView:
     def is_majority_reachable(self, members):
         return True
 
@@ -37,7 +37,7 @@
     identity = messages.Identity(members[0], 1, "n1")
     context.replica = replica.Replica(identity, durable)
     context.proposer = proposer.Proposer(
-        context.replica, random.Random(1), 1.0, 8.0, lambda now: _View()
+        context.replica, random.Random(1), 1.0, 8.0, lambda now: _PeerView()
     )
     context.effects = []
     context.proposer.submit(messages.Read(1), 0.0, context.effects)
--- a/tests/steps/core/consensus/races_steps.py
+++ b/tests/steps/core/consensus/races_steps.py
@@ -22,16 +22,16 @@
     network = fake_members.Network(0.0, 0.0, low / 1000, high / 1000)
     members = fake_members.FakeMembers(count, seed, network)
     assert members.run_until(
-        lambda: all(members.voting(name) for name in members.names), 30
+        lambda: all(members.is_voting(name) for name in members.names), 30
     )
     context.members, context.rng = members, random.Random(seed)
     context.accepted = []
 
 
-def _race(context, number):
+def _run_race(context, number):
     """Return how many of two edits of the newest revision were accepted."""
     members, rng = context.members, context.rng
-    revision = max(one.learned.revision for one in members.nodes.values())
+    revision = max(node.learned.revision for node in members.nodes.values())
     requests = [2 * number + 100, 2 * number + 101]
     for name, request in zip(
         rng.sample(members.names, 2), requests, strict=True
@@ -45,12 +45,12 @@
         members.submit(rng.choice(members.names), messages.Read(0))
     members.run(_SETTLE_S)
     results = [members.results.get(request) for request in requests]
-    return sum(isinstance(one, messages.EditAccepted) for one in results)
+    return sum(isinstance(result, messages.EditAccepted) for result in results)
 
 
 @when("{times:d} times two edits race while random members receive reads")
 def _(context, times):
-    context.accepted = [_race(context, number) for number in range(times)]
+    context.accepted = [_run_race(context, number) for number in range(times)]
 
 
 @then("at most one edit of each revision was accepted")
--- a/tests/steps/storage/folder_steps.py
+++ b/tests/steps/storage/folder_steps.py
@@ -65,4 +65,4 @@
         folder.DataFolder(str(context.folder.path))
     except errors.StorageBusyError:
         return
-    raise AssertionError("the folder was shared")
+    raise AssertionError("the folder was opened twice")
--- a/tests/steps/storage/records_steps.py
+++ b/tests/steps/storage/records_steps.py
@@ -15,7 +15,7 @@
 from hyssopfold.storage import records
 from tests.support import fake_disk
 
-_VARIANTS = 4
+_SEED_COUNT = 4
 _ADDRESS = "127.0.0.1:1"
 
 
@@ -33,64 +33,67 @@
     return data, records.MemberRecords(data, name, bits)
 
 
-def _begin(context):
+def _create_folder(context):
     context.records_path = tempfile.mkdtemp()
     context.add_cleanup(shutil.rmtree, context.records_path)
 
 
-def _vote(kept, told):
-    """Save votes one after another; note each that may be told."""
+def _vote(member_records, confirmed):
+    """Save votes one after another; record each in `confirmed`."""
     for counter in (1, 2, 3):
-        kept.save_promise(_ballot(counter))
-        told.append((_ballot(counter), None))
-        kept.save_register(_ballot(counter), _register(counter))
-        told.append((_ballot(counter), _ballot(counter)))
+        member_records.save_promise(_ballot(counter))
+        confirmed.append((_ballot(counter), None))
+        member_records.save_register(_ballot(counter), _register(counter))
+        confirmed.append((_ballot(counter), _ballot(counter)))
 
 
-def _crash_once(context, point, seed, disk_class):
-    """Crash at one point; return whether the votes told are held."""
+def _crash_once(context, operation, seed, disk_class):
+    """Crash at one disk operation.
+
+    Returns whether a crash happened and whether all confirmed votes are loaded.
+    """
     context.disk = disk_class(random.Random(seed))
-    context.disk.crash_at = point
-    told = []
-    data, kept = _open(context)
+    context.disk.crash_at = operation
+    confirmed = []
+    data, member_records = _open(context)
     try:
-        kept.open(_ADDRESS)
-        _vote(kept, told)
+        member_records.open(_ADDRESS)
+        _vote(member_records, confirmed)
     except fake_disk.CrashError:
         crashed = True
     else:
         crashed = False
     data.close()
     context.disk.crash()
-    data, kept = _open(context)
+    data, member_records = _open(context)
     try:
-        _, durable = kept.open(_ADDRESS)
+        _, durable = member_records.open(_ADDRESS)
     except errors.CorruptStorageError:
         return crashed, False
     finally:
         data.close()
-    return crashed, _holds(durable, told)
+    return crashed, _contains(durable, confirmed)
 
 
-def _holds(durable, told):
+def _contains(durable, confirmed):
     if durable.accepted != messages.NO_BALLOT:
         assert durable.register == _register(durable.accepted.counter)
     return all(
         durable.promised >= promised
         and (accepted is None or durable.accepted >= accepted)
-        for promised, accepted in told
+        for promised, accepted in confirmed
     )
 
 
 def _crash_everywhere(context, disk_class):
-    _begin(context)
-    context.held = []
-    for seed in range(_VARIANTS):
-        for point in range(1, 1000):
-            crashed, held = _crash_once(context, point, seed, disk_class)
+    _create_folder(context)
+    context.intact = []
+    for seed in range(_SEED_COUNT):
+        for operation in range(1, 1000):
+            crashed, intact = _crash_once(context, operation, seed, disk_class)
             if not crashed:
                 break
-            context.held.append(held)
+            context.intact.append(intact)
 
 
 @when("votes are saved with a crash at each disk operation in turn")
@@ -105,23 +108,23 @@
 
 @then("after each of at least {count:d} crashes every confirmed vote is intact")
 def _(context, count):
-    assert len(context.held) >= count, len(context.held)
-    assert all(context.held)
+    assert len(context.intact) >= count, len(context.intact)
+    assert all(context.intact)
 
 
 @then("some confirmed vote is missing")
 def _(context):
-    assert not all(context.held)
+    assert not all(context.intact)
 
 
 @given("records with a vote saved")
 def _(context):
-    _begin(context)
+    _create_folder(context)
     context.disk = fake_disk.FakeDisk(random.Random(1))
-    data, kept = _open(context)
-    kept.open(_ADDRESS)
-    kept.save_promise(_ballot(1))
-    kept.save_register(_ballot(1), _register(1))
+    data, member_records = _open(context)
+    member_records.open(_ADDRESS)
+    member_records.save_promise(_ballot(1))
+    member_records.save_register(_ballot(1), _register(1))
     data.close()
 
 
@@ -133,15 +136,15 @@
 @then("saving a vote fails and the error names the remedy")
 def _(context):
     context.disk.full = False
-    data, kept = _open(context)
-    kept.open(_ADDRESS)
+    data, member_records = _open(context)
+    member_records.open(_ADDRESS)
     context.disk.full = True
     try:
-        kept.save_register(_ballot(2), _register(2))
+        member_records.save_register(_ballot(2), _register(2))
     except errors.StorageWriteError as exc:
         assert "free space" in exc.remedy
     else:
-        raise AssertionError("the vote was taken")
+        raise AssertionError("the vote was saved")
     finally:
         data.close()
 
@@ -153,8 +156,8 @@
 
 @then("the previous vote is loaded")
 def _(context):
-    data, kept = _open(context)
-    _, durable = kept.open(_ADDRESS)
+    data, member_records = _open(context)
+    _, durable = member_records.open(_ADDRESS)
     data.close()
     assert durable.accepted == _ballot(1)
     assert durable.register == _register(1)
@@ -186,9 +189,9 @@
 
 
 def _refusal(context, name="control-1"):
-    data, kept = _open(context, name)
+    data, member_records = _open(context, name)
     try:
-        kept.open(_ADDRESS)
+        member_records.open(_ADDRESS)
     except errors.CorruptStorageError as exc:
         return exc
     finally:
--- a/tests/support/broken_members.py
+++ b/tests/support/broken_members.py
@@ -1,4 +1,4 @@
-"""Members that each break one rule, to show that the checks can fail."""
+"""Run members that break one rule, to show that the checks detect it."""
 
 import contextlib
 from unittest import mock
@@ -13,8 +13,8 @@
 
 _EXAMPLES = 100
 _STEPS = 50
-# Which check of a run fails first hangs on the examples drawn, and these on
-# the constants of all modules that are loaded.
+# Which check fails first depends on the examples that Hypothesis draws, and
+# these depend on the constants of all loaded modules.
 _SEEDS = range(1, 9)
 
 
@@ -22,8 +22,8 @@
     return any(member.id in ids for member in members)
 
 
-def _one_incarnation(self):
-    """Name a member by its name alone, whatever its disk."""
+def _id_without_incarnation(self):
+    """Return the member's name as its id, without the incarnation."""
     return self.name
 
 
@@ -32,14 +32,14 @@
     "a blank disk is another member": (
         messages.Member,
         "id",
-        property(_one_incarnation),
+        property(_id_without_incarnation),
     ),
 }
 
 
 @contextlib.contextmanager
 def broken(rule):
-    """Break a rule for as long as the block runs."""
+    """Patch a rule while the block runs."""
     target, name, replacement = RULES[rule]
     with mock.patch.object(target, name, replacement):
         yield
@@ -55,20 +55,28 @@
 }
 
 
-def catch(rule, judge, what):
-    """Run members that break `rule` at random; return what `judge` found.
+def catch(rule, checker, message):
+    """Run random operations on members that break `rule`.
 
-    Runs of one seed after another, until one is caught by the check `what`.
+    Tries one seed after another until a check fails with `message`.
+
+    Args:
+        rule: A key of `RULES`.
+        checker: A key of `MACHINES`.
+        message: Part of the expected failure message.
+
+    Returns:
+        The failure message of the last run, or "nothing".
     """
-    found = "nothing"
+    failure = "nothing"
     for seed in _SEEDS:
-        found = _catch(rule, judge, seed)
-        if what in found:
+        failure = _catch(rule, checker, seed)
+        if message in failure:
             break
-    return found
+    return failure
 
 
-def _catch(rule, judge, seed):
+def _catch(rule, checker, seed):
     settings = hypothesis.settings(
         max_examples=_EXAMPLES,
         stateful_step_count=_STEPS,
@@ -80,7 +88,7 @@
         suppress_health_check=list(hypothesis.HealthCheck),
         phases=(hypothesis.Phase.generate,),
     )
-    machine = type(MACHINES[judge].__name__, (MACHINES[judge],), {})
+    machine = type(MACHINES[checker].__name__, (MACHINES[checker],), {})
     with broken(rule):
         try:
             stateful.run_state_machine_as_test(
--- a/tests/support/conformance.py
+++ b/tests/support/conformance.py
@@ -1,4 +1,4 @@
-"""Replays the steps of members against the specification."""
+"""Replay the steps of members against the specification."""
 
 from hyssopfold.core.consensus import messages
 from spec import register_spec
@@ -7,7 +7,7 @@
 
 
 def _as_specified(register):
-    """Return who decides on a register, in the specification's form."""
+    """Return the members of a register in the form of the specification."""
     return register_spec.Register(
         "",
         tuple(member.id for member in register.members),
@@ -15,17 +15,17 @@
     )
 
 
-def _follows(new, old):
-    """Return whether `new` is one operation after `old`."""
+def _is_successor(new, old):
+    """Return whether `new` is `old` after one operation."""
     base = old._replace(previous=())
     if new == base:
         return True
     if new.previous:
-        gone = set(old.members) ^ set(new.members)
+        changed = set(old.members) ^ set(new.members)
         return (
             new.previous == old.members
             and new.epoch == old.epoch + 1
-            and 1 <= len(gone) <= 2
+            and 1 <= len(changed) <= 2
             and (new.revision, new.value) == (old.revision, old.value)
         )
     return (
@@ -37,23 +37,23 @@
 
 
 class Replay:
-    """Follow fake members; refuse a step that the specification has not.
+    """Check that each step of fake members is allowed by the specification.
 
     Args:
-        members: The fake members to follow.
+        members: The fake members to observe.
     """
 
     def __init__(self, members):
         self._members = members
         self.steps = 0
-        self._slots = {}
+        self._durable = {}
         self._promises = {}
         self._registers = {messages.NO_BALLOT: messages.BLANK_REGISTER}
         self._votes = {}
         members.observers.append(self.observe)
 
     def observe(self, name, effect):
-        """Replay one effect that was carried out."""
+        """Replay one executed effect."""
         member_id = f"{name}#{self._members.disks[name].incarnation}"
         match effect:
             case messages.SavePromise():
@@ -66,28 +66,30 @@
                 self._learn(effect.register)
 
     def _promise(self, member_id, ballot):
-        slot = self._slots.get(member_id, _BLANK)
-        assert register_spec.may_promise(slot, ballot), "promise"
+        durable = self._durable.get(member_id, _BLANK)
+        assert register_spec.may_promise(durable, ballot), (
+            "the promise is allowed"
+        )
         promises = self._promises.setdefault(ballot, {})
-        promises.setdefault(member_id, slot.accepted)
-        self._slots[member_id] = slot._replace(promised=ballot)
+        promises.setdefault(member_id, durable.accepted)
+        self._durable[member_id] = durable._replace(promised=ballot)
         self.steps += 1
 
     def _accept(self, member_id, save):
-        slot = self._slots.get(member_id, _BLANK)
-        held = self._registers.get(save.accepted)
-        if held is None:
+        durable = self._durable.get(member_id, _BLANK)
+        proposed = self._registers.get(save.accepted)
+        if proposed is None:
             self._form(save)
         else:
-            assert held == save.register, "one register under one ballot"
-        if slot.accepted == save.accepted:
-            # Saved again after a disk had refused: no vote of its own.
+            assert proposed == save.register, "one register under one ballot"
+        if durable.accepted == save.accepted:
+            # The same vote is saved again after a failed write.
             return
-        assert register_spec.may_accept(slot, save.accepted) or self._is_chosen(
-            save.accepted
-        ), "accept"
-        promised = max(slot.promised, save.accepted)
-        self._slots[member_id] = register_spec.DurableState(
+        assert register_spec.may_accept(
+            durable, save.accepted
+        ) or self._is_chosen(save.accepted), "the vote is allowed"
+        promised = max(durable.promised, save.accepted)
+        self._durable[member_id] = register_spec.DurableState(
             promised, save.accepted
         )
         self._votes.setdefault(save.accepted, set()).add(member_id)
@@ -95,8 +97,10 @@
 
     def _form(self, save):
         register = save.register
-        assert len(self._registers) == 1, "a cluster is formed once"
-        assert (register.revision, register.epoch) == (0, 0), "formed empty"
+        assert len(self._registers) == 1, "only one cluster is formed"
+        assert (register.revision, register.epoch) == (0, 0), (
+            "a cluster is formed empty"
+        )
         self._registers[save.accepted] = register
 
     def _is_chosen(self, ballot):
@@ -105,38 +109,38 @@
         return register_spec.satisfied(register, votes)
 
     def _propose(self, accept):
-        held = self._registers.get(accept.ballot)
-        if held is not None:
-            assert held == accept.register, "one register under one ballot"
+        proposed = self._registers.get(accept.ballot)
+        if proposed is not None:
+            assert proposed == accept.register, "one register under one ballot"
             return
         promises = self._promises.get(accept.ballot, {})
         assert any(
             self._may_propose(accept.register, promises, newest)
             for newest in set(promises.values())
-        ), "propose"
+        ), "the proposal is allowed"
         self._registers[accept.ballot] = accept.register
         self.steps += 1
 
     def _may_propose(self, proposal, promises, newest):
         """Return whether the promises up to `newest` allow the proposal."""
-        seen = {i for i, accepted in promises.items() if accepted <= newest}
-        held = self._registers[newest]
-        decides = _as_specified(held)
+        ids = {i for i, accepted in promises.items() if accepted <= newest}
+        base = self._registers[newest]
+        specified = _as_specified(base)
         is_chosen = self._is_chosen(newest)
         if is_chosen:
-            decides = decides._replace(previous=())
-        if not register_spec.satisfied(decides, seen):
+            specified = specified._replace(previous=())
+        if not register_spec.satisfied(specified, ids):
             return False
-        if proposal == held:
+        if proposal == base:
             return True
-        is_settled = not held.previous or is_chosen
-        return is_settled and _follows(proposal, held)
+        is_settled = not base.previous or is_chosen
+        return is_settled and _is_successor(proposal, base)
 
     def _learn(self, register):
         chosen = [
             ballot
-            for ballot, held in self._registers.items()
-            if held == register and self._is_chosen(ballot)
+            for ballot, proposed in self._registers.items()
+            if proposed == register and self._is_chosen(ballot)
         ]
-        assert chosen, "learned is chosen"
+        assert chosen, "a learned register is chosen"
         self.steps += 1
--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -1,4 +1,4 @@
-"""Members of the register that find each other from a few seeds."""
+"""Run members of the register that discover each other through seeds."""
 
 from hyssopfold.core.consensus import node
 from tests.support import fake_members
@@ -7,12 +7,12 @@
 
 
 class FakeDiscovery(fake_members.FakeMembers):
-    """Run members that know some addresses of others at first.
+    """Run members that at first know only the addresses of the seeds.
 
     Args:
-        seeds: How many of the members all are told of.
+        seeds: Number of members whose addresses all members are given.
         count: Number of members that start.
-        seed: Seed of everything random.
+        seed: Seed of all random choices.
     """
 
     def __init__(self, seeds, count, seed):
@@ -33,15 +33,15 @@
 
     @staticmethod
     def region_of(name):
-        """Return the region of a member: three, by turns."""
+        """Return the region of a member, one of three by its number."""
         return f"region-{int(name.partition('-')[2]) % 3}"
 
     def members(self):
-        """Return the names of those that vote, as the newest one knows."""
-        known = [one.learned for one in self.nodes.values()]
-        newest = max(known, key=lambda register: register.epoch)
+        """Return the names of the members of the newest learned epoch."""
+        registers = [member.learned for member in self.nodes.values()]
+        newest = max(registers, key=lambda register: register.epoch)
         return {member.name for member in newest.members}
 
     def all_vote(self):
-        """Return whether all that run vote."""
-        return all(map(self.voting, self.nodes))
+        """Return whether all running members vote."""
+        return all(map(self.is_voting, self.nodes))
--- a/tests/support/fake_disk.py
+++ b/tests/support/fake_disk.py
@@ -1,10 +1,10 @@
-"""A disk that loses what is not synced, and fails or crashes on demand."""
+"""Fake disks that lose unsynced data, and that fail or crash on demand."""
 
 import errno
 
 
 class CrashError(Exception):
-    """The power went out."""
+    """The simulated power failure."""
 
 
 class _File:
@@ -14,10 +14,12 @@
 
 
 class FakeDisk:
-    """Files in memory with a cache in front of them.
+    """Files in memory behind a simulated cache.
+
+    Implements `disk.Disk`.
 
     Args:
-        rng: Chooses what an unsynced write or rename leaves behind.
+        rng: Chooses what remains of unsynced writes and renames.
     """
 
     def __init__(self, rng):
@@ -29,28 +31,28 @@
         self._synced_names = {}
         self._renames = []
 
-    def _operation(self):
+    def _count_operation(self):
         self.operations += 1
         if self.operations == self.crash_at:
             raise CrashError(self.operations)
 
     def crash(self):
-        """Lose the cache: names and contents that were not synced."""
+        """Lose some of the names and contents that were not synced."""
         names = dict(self._synced_names)
-        kept = self.rng.randint(0, len(self._renames))
-        for name, file in self._renames[:kept]:
+        kept_renames = self.rng.randint(0, len(self._renames))
+        for name, file in self._renames[:kept_renames]:
             names[name] = file
             if file is None:
                 del names[name]
         for file in names.values():
-            file.data = self._after_crash(file)
+            file.data = self._content_after_crash(file)
             file.synced = file.data
         self._files = dict(names)
         self._synced_names = dict(names)
         self._renames = []
         self.crash_at = None
 
-    def _after_crash(self, file):
+    def _content_after_crash(self, file):
         if file.data == file.synced:
             return file.synced
         torn = file.data[: self.rng.randint(0, len(file.data))]
@@ -62,7 +64,7 @@
         return None if file is None else file.data
 
     def write(self, path, data):
-        """Write a file into the cache; a crash may strike half way."""
+        """Write a file into the cache; a crash may leave half of it."""
         file = self._files.get(path)
         if file is None:
             file = _File()
@@ -71,23 +73,23 @@
             file.data = data[: len(data) // 2]
             raise OSError(errno.ENOSPC, "no space left on device")
         file.data = data[: len(data) // 2]
-        self._operation()
+        self._count_operation()
         file.data = data
 
     def sync(self, path):
         """Sync a file's content."""
-        self._operation()
+        self._count_operation()
         file = self._files[path]
         file.synced = file.data
-        self._operation()
+        self._count_operation()
 
     def replace(self, source, target):
         """Rename a file."""
-        self._operation()
+        self._count_operation()
         file = self._files[source]
         self._set_name(target, file)
         self._set_name(source, None)
-        self._operation()
+        self._count_operation()
 
     def remove(self, path):
         """Remove a file."""
@@ -103,19 +105,19 @@
 
     def sync_folder(self, path):
         """Sync the names of a folder."""
-        self._operation()
+        self._count_operation()
         self._synced_names = dict(self._files)
         self._renames = []
-        self._operation()
+        self._count_operation()
 
 
 class UnsyncedDisk(FakeDisk):
-    """A disk whose syncs do nothing: what a member without syncs gets."""
+    """A disk whose syncs do nothing, as for a member that never syncs."""
 
     def sync(self, path):
-        """Sync nothing."""
-        self._operation()
+        """Do nothing."""
+        self._count_operation()
 
     def sync_folder(self, path):
-        """Sync nothing."""
-        self._operation()
+        """Do nothing."""
+        self._count_operation()
--- a/tests/support/fake_members.py
+++ b/tests/support/fake_members.py
@@ -1,4 +1,4 @@
-"""Members of the register joined by a fake network and fake disks."""
+"""Run members of the register on a fake network and fake disks."""
 
 import heapq
 import itertools
@@ -10,7 +10,7 @@
 
 
 class Disk:
-    """What one data folder holds; a save is either lost or whole."""
+    """The content of one data folder; a save is either lost or complete."""
 
     def __init__(self, incarnation):
         self.incarnation = incarnation
@@ -20,19 +20,19 @@
         self.full = False
 
     def copy(self):
-        """Return what a copy of the folder holds."""
+        """Return a copy of the folder."""
         other = Disk(self.incarnation)
         other.__dict__.update(self.__dict__)
         return other
 
     def save(self, effect):
-        """Carry a save."""
-        held = self.durable
+        """Execute a save effect."""
+        durable = self.durable
         match effect:
             case messages.SavePromise():
-                self.durable = held._replace(promised=effect.promised)
+                self.durable = durable._replace(promised=effect.promised)
             case messages.SaveRegister():
-                promised = max(held.promised, effect.accepted)
+                promised = max(durable.promised, effect.accepted)
                 self.durable = messages.DurableState(
                     promised, effect.accepted, effect.register
                 )
@@ -48,10 +48,10 @@
 
 
 class Network(NamedTuple):
-    """How the fake network treats messages; delays in seconds."""
+    """Probabilities of loss and duplication; delays in seconds."""
 
     loss: float = 0.0
-    double: float = 0.0
+    duplication: float = 0.0
     min_delay_s: float = 0.0005
     max_delay_s: float = 0.002
 
@@ -64,9 +64,10 @@
 
     Args:
         count: Number of members that form the first cluster.
-        seed: Seed of everything random.
-        network: How messages are treated.
-        node_class: The decisions under test.
+        seed: Seed of all random choices.
+        network: Loss, duplication and delay of messages.
+        node_class: The `node.Node` under test.
+        names: Names of the members, by default control-1, control-2, ...
     """
 
     def __init__(
@@ -82,7 +83,7 @@
         self.node_class = node_class
         self.names = names or [f"control-{n}" for n in range(1, count + 1)]
         self.configured = [self._endpoint(name) for name in self.names]
-        self.cut = set()
+        self.cut_links = set()
         self.frozen = {}
         self.now = 0.0
         self.results = {}
@@ -91,11 +92,11 @@
         self.crash_at_save = {}
         self.sent = 0
         self._events = []
-        self._order = itertools.count()
+        self._sequence = itertools.count()
         self._incarnations = itertools.count(1)
         self.disks = {}
         self.nodes = {}
-        self._due = {}
+        self._tick_times = {}
         self.observers = []
         for name in self.names:
             self.disks[name] = self._blank_disk()
@@ -109,7 +110,7 @@
         return Disk(f"i{next(self._incarnations):03}")
 
     def start(self, name):
-        """Start a process on what its disk holds."""
+        """Start a process with the state on its disk."""
         disk = self.disks[name]
         disk.starts += 1
         member = messages.Member(
@@ -123,61 +124,61 @@
         self.nodes[name] = self.node_class(
             identity, self.configured, disk.durable, rng
         )
-        self._tick_later(name)
+        self._schedule_tick(name)
 
     def crash(self, name):
-        """Kill a process; what it has not saved is gone."""
+        """Kill a process; its unsaved state is lost."""
         self.nodes.pop(name, None)
         self.frozen.pop(name, None)
 
     def restart(self, name):
-        """Kill a process and start it from what its disk holds."""
+        """Kill a process and start it with the state on its disk."""
         self.crash(name)
         self.start(name)
 
     def wipe(self, name):
-        """Lose a disk with its process; the folder comes back blank."""
+        """Kill a process and replace its disk by a blank one."""
         self.crash(name)
         self.disks[name] = self._blank_disk()
 
     def add_instance(self, name):
-        """Start a further instance on a blank disk."""
+        """Start a new instance on a blank disk."""
         self.names.append(name)
         self.configured = [*self.configured, self._endpoint(name)]
         self.disks[name] = self._blank_disk()
         self.start(name)
 
     def freeze(self, name):
-        """Stop a process as SIGSTOP does: its messages wait."""
+        """Stop a process as SIGSTOP does; its messages are queued."""
         if name in self.nodes:
             self.frozen.setdefault(name, [])
 
     def thaw(self, name):
-        """Let a frozen process go on."""
+        """Resume a frozen process, which first gets its queued messages."""
         for sender, message in self.frozen.pop(name, []):
             self.submit(name, messages.Received(sender, message))
         if name in self.nodes:
-            self._tick_later(name)
+            self._schedule_tick(name)
 
     def isolate(self, name):
-        """Cut a member off from all others, both ways."""
+        """Cut all links of a member, in both directions."""
         for other in self.names:
-            self.cut |= {(name, other), (other, name)} - {(name, name)}
+            self.cut_links |= {(name, other), (other, name)} - {(name, name)}
 
     def heal(self):
-        """End all cuts."""
-        self.cut.clear()
+        """Restore all links."""
+        self.cut_links.clear()
 
     def submit(self, name, event):
-        """Hand an event to a member."""
+        """Pass an event to a member and execute the effects."""
         member = self.nodes.get(name)
         if member is None or name in self.frozen:
             return
-        self._carry(name, member.handle(event, self.now))
+        self._execute(name, member.handle(event, self.now))
         if name in self.nodes:
-            self._tick_later(name)
+            self._schedule_tick(name)
 
-    def _carry(self, name, effects):
+    def _execute(self, name, effects):
         for index, effect in enumerate(effects):
             if isinstance(effect, SAVES) and not self._save(name, effect):
                 if name in self.nodes:
@@ -200,7 +201,10 @@
             observe(name, effect)
 
     def _save(self, name, effect):
-        """Save, or crash before or after it; return whether to go on."""
+        """Execute a save, or crash before or after it.
+
+        Returns whether later effects are executed.
+        """
         self.saves += 1
         crash = self.crash_at_save.pop(self.saves, None)
         if crash == "before":
@@ -222,42 +226,42 @@
         self.submit(name, messages.StorageFailed("no space left on device"))
 
     def recover_storage(self, name):
-        """Make room on a full disk and let the member save all again."""
+        """Free space on a full disk and save the member's whole state."""
         disk = self.disks[name]
         disk.full = False
-        disk.durable = held = self.nodes[name].durable
-        register = messages.SaveRegister(held.accepted, held.register)
-        if held.accepted != messages.NO_BALLOT:
+        disk.durable = durable = self.nodes[name].durable
+        register = messages.SaveRegister(durable.accepted, durable.register)
+        if durable.accepted != messages.NO_BALLOT:
             self._observe(name, register)
-        self._observe(name, messages.SavePromise(held.promised))
+        self._observe(name, messages.SavePromise(durable.promised))
         self.submit(name, messages.StorageRecovered())
 
     def _send(self, name, effect):
         self.sent += 1
         if self.rng.random() < self.network.loss:
             return
-        copies = 2 if self.rng.random() < self.network.double else 1
+        copies = 2 if self.rng.random() < self.network.duplication else 1
         sender = self.nodes[name].replica.id
         for _ in range(copies):
             delay = self.rng.uniform(
                 self.network.min_delay_s, self.network.max_delay_s
             )
             item = (name, sender, effect.to.name, effect.message)
-            self._push(self.now + delay, item)
+            self._schedule(self.now + delay, item)
 
-    def _push(self, at, item):
-        heapq.heappush(self._events, (at, next(self._order), item))
+    def _schedule(self, at, item):
+        heapq.heappush(self._events, (at, next(self._sequence), item))
 
-    def _tick_later(self, name):
-        """Note when a member wants its next tick, which must lie ahead."""
+    def _schedule_tick(self, name):
+        """Schedule the next tick of a member."""
         due = max(self.now, self.nodes[name].next_deadline())
-        held = self._due.get(name)
-        if held is None or due < held or held < self.now:
-            self._due[name] = due
-            self._push(due, name)
+        scheduled = self._tick_times.get(name)
+        if scheduled is None or due < scheduled or scheduled < self.now:
+            self._tick_times[name] = due
+            self._schedule(due, name)
 
     def run(self, seconds):
-        """Let virtual time pass."""
+        """Advance virtual time by `seconds`."""
         until = self.now + seconds
         while self._events and self._events[0][0] <= until:
             at, _, item = heapq.heappop(self._events)
@@ -269,16 +273,18 @@
         self.now = until
 
     def _tick(self, name, at):
-        if self._due.get(name) != at:
+        if self._tick_times.get(name) != at:
             return
-        del self._due[name]
+        del self._tick_times[name]
         self.submit(name, messages.Tick())
         if name in self.nodes and name not in self.frozen:
-            # A member that asks for ticks in the past would spin for ever.
-            assert self.nodes[name].next_deadline() > self.now, "no spinning"
+            # A member that requests ticks in the past would never stop.
+            assert self.nodes[name].next_deadline() > self.now, (
+                "the next tick is in the future"
+            )
 
     def _deliver(self, name, sender, to, message):
-        if (name, to) in self.cut:
+        if (name, to) in self.cut_links:
             return
         if to in self.frozen:
             self.frozen[to].append((sender, message))
@@ -286,7 +292,7 @@
         self.submit(to, messages.Received(sender, message))
 
     def run_until(self, condition, seconds):
-        """Let time pass until `condition()`; return whether it came."""
+        """Advance time until `condition()`; return whether it came true."""
         until = self.now + seconds
         while self.now < until:
             if condition():
@@ -294,8 +300,8 @@
             self.run(0.01)
         return condition()
 
-    def voting(self, name):
-        """Return whether a member votes and knows the newest register."""
+    def is_voting(self, name):
+        """Return whether a member votes, as of the register it learned."""
         member = self.nodes.get(name)
         if member is None or member.fault:
             return False
--- a/tests/support/register_history.py
+++ b/tests/support/register_history.py
@@ -1,14 +1,14 @@
-"""Checks what members told against what is on their disks."""
+"""Check the answers of members against the content of their disks."""
 
 from hyssopfold.core.consensus import messages
 from hyssopfold.core.consensus import quorums
 
 
 class History:
-    """Watch the effects of fake members and check what was promised.
+    """Check the invariants of the register on the effects of fake members.
 
     Args:
-        members: The fake members to watch.
+        members: The fake members to observe.
     """
 
     def __init__(self, members):
@@ -22,7 +22,7 @@
         members.observers.append(self.observe)
 
     def observe(self, name, effect):
-        """Check one effect that was carried out."""
+        """Check one executed effect."""
         match effect:
             case messages.SaveRegister():
                 disk = self.members.disks[name]
@@ -37,11 +37,15 @@
         value = self.values.setdefault(register.revision, register.value)
         assert value == register.value, "one value for one revision"
         key = (name, self.members.disks[name].incarnation)
-        before = self.in_force.get(key, -1)
-        assert register.revision >= before, "the revision in force never falls"
+        previous = self.in_force.get(key, -1)
+        assert register.revision >= previous, (
+            "the revision in force never falls"
+        )
         self.in_force[key] = register.revision
         for change in register.changes:
-            assert change.change_id not in self.refused, "a refusal is true"
+            assert change.change_id not in self.refused, (
+                "a refused edit never takes effect"
+            )
 
     def _check_reply(self, name, reply):
         change_id = self.requests[reply.request]
@@ -49,29 +53,37 @@
             case messages.EditAccepted(revision):
                 first = self.accepted.setdefault(change_id, revision)
                 assert first == revision, "a resent edit gets its first answer"
-                assert change_id not in self.refused, "a refusal is true"
+                assert change_id not in self.refused, (
+                    "a refused edit never takes effect"
+                )
                 self._check_majority(name, change_id)
             case messages.EditConflict(_, winner):
-                assert change_id not in self.accepted, "first answer again"
-                assert winner != change_id, "the winner is another"
+                assert change_id not in self.accepted, (
+                    "an accepted edit is not refused later"
+                )
+                assert winner != change_id, "the winner is another edit"
                 self.refused.add(change_id)
 
     def _check_majority(self, name, change_id):
         members = self.members.nodes[name].learned.members
-        holders = {
+        saved_by = {
             member_id
             for member_id, register in self.on_disk.items()
             if register.accepted_change(change_id) is not None
         }
-        assert quorums.has_majority(members, holders), (
-            "accepted is on a majority's disks"
+        assert quorums.has_majority(members, saved_by), (
+            "an accepted edit is on a majority's disks"
         )
 
     def check_final(self, register):
-        """Check the register that all agree on in the end."""
+        """Check the register that all members agree on at the end."""
         for change_id, revision in self.accepted.items():
             change = register.accepted_change(change_id)
-            assert change is not None, "accepted is never lost"
-            assert change.revision == revision, "accepted is never moved"
+            assert change is not None, "an accepted edit is never lost"
+            assert change.revision == revision, (
+                "an accepted edit keeps its revision"
+            )
         for change in register.changes:
-            assert change.change_id not in self.refused, "a refusal is true"
+            assert change.change_id not in self.refused, (
+                "a refused edit never takes effect"
+            )
--- a/tests/support/register_machine.py
+++ b/tests/support/register_machine.py
@@ -1,4 +1,4 @@
-"""A random run of members under failures, one at a time and in pairs."""
+"""Run random operations on members under single and double failures."""
 
 from hypothesis import stateful
 from hypothesis import strategies
@@ -17,14 +17,14 @@
 
 
 class RegisterMachine(stateful.RuleBasedStateMachine):
-    """Edits, losses, cuts, crashes, freezes, blank disks, new members."""
+    """Random edits, message losses, crashes, blank disks and new members."""
 
     node_class = fake_members.node.Node
     is_replayed = True
 
     @stateful.initialize(seed=strategies.integers(0, 2**16))
     def begin(self, seed):
-        """Form three members on a bad network."""
+        """Form a cluster of three members on an unreliable network."""
         self.members = fake_members.FakeMembers(
             3, seed, NETWORK, self.node_class
         )
@@ -40,16 +40,16 @@
 
     def _all_vote(self):
         names = self._member_names()
-        return bool(names) and all(self.members.voting(n) for n in names)
+        return bool(names) and all(self.members.is_voting(n) for n in names)
 
-    def _newest(self):
+    def _newest_register(self):
         disks = self.members.disks.values()
         return max(disk.durable for disk in disks).register
 
     def _member_names(self):
-        return [member.name for member in self._newest().members]
+        return [member.name for member in self._newest_register().members]
 
-    def _ask(self, name, change_id, expect):
+    def _submit_edit(self, name, change_id, expect):
         self.request += 1
         self.history.requests[self.request] = change_id
         expect = self.expects.setdefault(change_id, expect)
@@ -59,36 +59,38 @@
 
     @stateful.rule(index=_INDEX, behind=strategies.integers(0, 1))
     def edit(self, index, behind):
-        """Edit the newest revision that an instance knows, or an older."""
+        """Edit the newest revision that an instance learned, or an older."""
         name = self._name(index)
         member = self.members.nodes.get(name)
         if member is not None:
             expect = max(0, member.learned.revision - behind)
-            self._ask(name, f"change-{self.request}", expect)
+            self._submit_edit(name, f"change-{self.request}", expect)
 
     @stateful.rule(one=_INDEX, two=_INDEX)
     def race(self, one, two):
-        """Two operators edit one revision."""
-        revision = self._newest().revision
+        """Send two concurrent edits of one revision."""
+        revision = self._newest_register().revision
         for index in (one, two):
-            self._ask(self._name(index), f"race-{self.request}", revision)
+            self._submit_edit(
+                self._name(index), f"race-{self.request}", revision
+            )
 
     @stateful.rule(index=_INDEX, back=strategies.integers(1, 5))
     def resend(self, index, back):
-        """An operator who got no answer sends an edit again."""
+        """Resend an earlier edit, as after a lost answer."""
         if self.request < back:
             return
         change_id = self.history.requests[self.request - back + 1]
-        self._ask(self._name(index), change_id, self.expects[change_id])
+        self._submit_edit(self._name(index), change_id, self.expects[change_id])
 
     @stateful.rule(index=_INDEX)
     def read(self, index):
-        """Read through any instance."""
+        """Read at an instance."""
         self.members.submit(self._name(index), messages.Read(0))
 
     @stateful.rule(seconds=strategies.floats(0.0, 3.0))
     def wait(self, seconds):
-        """Let time pass."""
+        """Advance time."""
         self.members.run(seconds)
 
     @stateful.rule(index=_INDEX)
@@ -101,27 +103,27 @@
         place=strategies.sampled_from(("before", "after")),
     )
     def crash_at_save(self, ahead, place):
-        """Kill whichever process makes one of the next saves."""
+        """Kill the process that executes one of the next saves."""
         self.members.crash_at_save = {self.members.saves + ahead: place}
 
     @stateful.rule(index=_INDEX)
     def restart(self, index):
-        """Start a process again, or kill and start it."""
+        """Start a process, after killing it if it runs."""
         self.members.restart(self._name(index))
 
     @stateful.rule(one=_INDEX, two=_INDEX)
     def cut_one_way(self, one, two):
         """Lose all messages from one instance to another."""
-        self.members.cut.add((self._name(one), self._name(two)))
+        self.members.cut_links.add((self._name(one), self._name(two)))
 
     @stateful.rule(index=_INDEX)
     def cut_off(self, index):
-        """Cut an instance off in silence."""
+        """Cut all links of an instance."""
         self.members.isolate(self._name(index))
 
     @stateful.rule()
     def heal(self):
-        """End all cuts."""
+        """Restore all links."""
         self.members.heal()
 
     @stateful.rule(index=_INDEX)
@@ -131,30 +133,30 @@
 
     @stateful.rule(index=_INDEX)
     def thaw(self, index):
-        """Let a stopped process go on."""
+        """Resume a stopped process."""
         self.members.thaw(self._name(index))
 
     @stateful.rule(index=_INDEX)
     def fill_disk(self, index):
-        """Fill a disk: saves fail until there is room again."""
+        """Fill a disk; saves fail until it has free space again."""
         self.members.disks[self._name(index)].full = True
 
     @stateful.rule(index=_INDEX)
     def mend_disk(self, index):
-        """Make room again."""
+        """Free space on a disk and save the member's state."""
         name = self._name(index)
         if name in self.members.nodes and name not in self.members.frozen:
             self.members.recover_storage(name)
 
     @stateful.rule(index=_INDEX)
     def lose_disk(self, index):
-        """Lose a disk, as long as a majority of intact ones is left."""
+        """Lose a disk, if a majority of intact disks remains."""
         name = self._name(index)
-        if self._may_lose(name):
+        if self._may_lose_disk(name):
             self.members.wipe(name)
             self.members.start(name)
 
-    def _may_lose(self, name):
+    def _may_lose_disk(self, name):
         disks = self.members.disks
         intact = {
             f"{n}#{disk.incarnation}" for n, disk in disks.items() if n != name
@@ -164,13 +166,13 @@
             key=lambda register: (register.epoch, register.revision),
             default=messages.BLANK_REGISTER,
         )
-        held = [disk.durable.register for disk in disks.values()]
-        recent = [newest] + [r for r in held if r.epoch >= newest.epoch]
+        accepted = [disk.durable.register for disk in disks.values()]
+        recent = [newest] + [r for r in accepted if r.epoch >= newest.epoch]
         return all(quorums.satisfied(register, intact) for register in recent)
 
     @stateful.rule(index=_INDEX)
     def add_member(self, index):
-        """Start a further instance and let it vote."""
+        """Start a new instance, and add the newest instance as a member."""
         if len(self.members.names) < _MAX_NAMES:
             name = f"control-{len(self.members.names) + 1}"
             self.members.add_instance(name)
@@ -180,12 +182,12 @@
 
     @stateful.rule(index=_INDEX, gone=_INDEX)
     def remove_member(self, index, gone):
-        """Let a member vote no more."""
+        """Remove a member."""
         event = messages.RemoveMember(0, self._name(gone))
         self.members.submit(self._name(index), event)
 
     def teardown(self):
-        """End all failures: everyone comes to agree and takes an edit."""
+        """End all failures; all members must agree and accept an edit."""
         if not hasattr(self, "members"):
             return
         self.members.crash_at_save = {}
@@ -193,29 +195,31 @@
         for name, disk in self.members.disks.items():
             disk.full = False
             self.members.restart(name)
-        assert self.members.run_until(self._all_vote, RECOVERY_S), "all vote"
+        assert self.members.run_until(self._all_vote, RECOVERY_S), (
+            "all members vote"
+        )
         name = self._member_names()[0]
-        self._ask(name, "last", self._newest().revision)
+        self._submit_edit(name, "last", self._newest_register().revision)
         self.members.run(RECOVERY_S)
-        assert "last" in self.history.accepted, "an edit is taken in the end"
+        assert "last" in self.history.accepted, "the last edit is accepted"
         registers = {
             self.members.nodes[n].learned for n in self._member_names()
         }
-        assert len(registers) == 1, "all agree in the end"
+        assert len(registers) == 1, "all members agree at the end"
         self.history.check_final(registers.pop())
 
 
 class ReturningMachine(RegisterMachine):
-    """The same, where silent members are dismissed and vote again later."""
+    """Additionally remove members that keep their data and vote again."""
 
     @stateful.rule(index=_INDEX, gone=_INDEX)
     def dismiss(self, index, gone):
-        """Take the vote of a member that keeps its data."""
+        """Remove a member without retiring its id."""
         event = messages.RemoveMember(0, self._name(gone), retires=False)
         self.members.submit(self._name(index), event)
 
     @stateful.rule(index=_INDEX, back=_INDEX)
     def let_vote_again(self, index, back):
-        """Let one vote that was a member before."""
+        """Add an instance that may have been a member before."""
         event = messages.AddMember(0, self._name(back))
         self.members.submit(self._name(index), event)
