--- a/tests/support/fake_discovery.py
+++ b/tests/support/fake_discovery.py
@@ -38,7 +38,7 @@
 
     def members(self):
         """Return the names of the members of the newest learned epoch."""
-        registers = [member.learned for member in self.nodes.values()]
+        registers = [running.learned for running in self.nodes.values()]
         newest = max(registers, key=lambda register: register.epoch)
         return {member.name for member in newest.members}
 
