--- a/hyssopfold/core/consensus/proposer.py
+++ b/hyssopfold/core/consensus/proposer.py
@@ -269,7 +269,7 @@
         register = self._replica.register
         if answer.accepted == query.ballot:
             query.agreeing.add(sender)
-        if quorums.satisfied(register, query.agreeing):
+        if quorums.has_quorum(register, query.agreeing):
             self._record_chosen(query.ballot, register, effects)
             self._finish(messages.ReadDone(register), effects)
             return
@@ -352,9 +352,9 @@
         current.promises[sender] = promise
         newest = max(current.promises.values(), key=lambda p: p.accepted)
         ids = current.promises.keys()
-        if not quorums.satisfied(current.base, ids, current.base_is_chosen):
+        if not quorums.has_quorum(current.base, ids, current.base_is_chosen):
             return
-        if not quorums.satisfied(
+        if not quorums.has_quorum(
             newest.register, ids, self._is_known_chosen(newest)
         ):
             self._prepare(newest.register, now, effects)
@@ -374,7 +374,7 @@
             for sender, promise in self._round.promises.items()
             if promise.accepted == newest.accepted
         }
-        return quorums.satisfied(newest.register, agreeing)
+        return quorums.has_quorum(newest.register, agreeing)
 
     def _propose(
         self, newest: messages.Promise, now: float, effects: Effects
@@ -432,7 +432,7 @@
             return
         current.accepts.add(sender)
         register, result = current.outcome
-        if not quorums.satisfied(register, current.accepts):
+        if not quorums.has_quorum(register, current.accepts):
             return
         self._record_chosen(current.ballot, register, effects)
         if result is None:
--- a/hyssopfold/core/consensus/quorums.py
+++ b/hyssopfold/core/consensus/quorums.py
@@ -13,7 +13,7 @@
     return votes > len(members) // 2
 
 
-def satisfied(
+def has_quorum(
     register: messages.Register, ids: Collection[str], chosen: bool = False
 ) -> bool:
     """Return whether `ids` form a quorum for `register` and its successors.
--- a/spec/register_spec.py
+++ b/spec/register_spec.py
@@ -98,7 +98,7 @@
     return votes > len(members) // 2
 
 
-def satisfied(
+def has_quorum(
     register: Register, ids: Iterable[str], rules: Rules = RULES
 ) -> bool:
     """Return whether `ids` form a quorum for `register`."""
@@ -144,12 +144,12 @@
     newest = select(promises.values())
     newest_register = registers[newest]
     if rules.majority_to_prepare:
-        if not satisfied(base, promises, rules):
+        if not has_quorum(base, promises, rules):
             return None
-        if not satisfied(newest_register, promises, rules):
+        if not has_quorum(newest_register, promises, rules):
             return None
     agreeing = [a for a, accepted in promises.items() if accepted == newest]
-    is_chosen = satisfied(newest_register, agreeing, rules)
+    is_chosen = has_quorum(newest_register, agreeing, rules)
     if newest_register.previous and not is_chosen and rules.settle_change_first:
         return newest_register
     return apply(operation, newest_register)
@@ -263,7 +263,9 @@
             (ballot, ballot_state.proposal)
             for ballot, ballot_state in enumerate(state.ballots, 1)
             if ballot_state.proposal is not None
-            and satisfied(ballot_state.proposal, ballot_state.votes, self.rules)
+            and has_quorum(
+                ballot_state.proposal, ballot_state.votes, self.rules
+            )
         ]
 
     def has_one_history(self, state: State) -> bool:
--- a/tests/support/conformance.py
+++ b/tests/support/conformance.py
@@ -106,7 +106,7 @@
     def _is_chosen(self, ballot):
         register = _as_specified(self._registers[ballot])
         votes = self._votes.get(ballot, ())
-        return register_spec.satisfied(register, votes)
+        return register_spec.has_quorum(register, votes)
 
     def _propose(self, accept):
         proposed = self._registers.get(accept.ballot)
@@ -129,7 +129,7 @@
         is_chosen = self._is_chosen(newest)
         if is_chosen:
             specified = specified._replace(previous=())
-        if not register_spec.satisfied(specified, ids):
+        if not register_spec.has_quorum(specified, ids):
             return False
         if proposal == base:
             return True
--- a/tests/support/register_machine.py
+++ b/tests/support/register_machine.py
@@ -168,7 +168,7 @@
         )
         accepted = [disk.durable.register for disk in disks.values()]
         recent = [newest] + [r for r in accepted if r.epoch >= newest.epoch]
-        return all(quorums.satisfied(register, intact) for register in recent)
+        return all(quorums.has_quorum(register, intact) for register in recent)
 
     @stateful.rule(index=_INDEX)
     def add_member(self, index):
