--- a/tests/steps/core/consensus/node_steps.py
+++ b/tests/steps/core/consensus/node_steps.py
@@ -23,7 +23,7 @@
     return context.members.results.get(context.requests[change_id])
 
 
-def _begin(context, count, seed, network):
+def _form_cluster(context, count, seed, network):
     context.members = fake_members.FakeMembers(count, seed, network)
     context.history = register_history.History(context.members)
     context.replay = conformance.Replay(context.members)
@@ -32,18 +32,20 @@
 
 
 def _all_vote(context):
-    return all(context.members.voting(name) for name in context.members.names)
+    return all(
+        context.members.is_voting(name) for name in context.members.names
+    )
 
 
 @given("{count:d} members with seed {seed:d}")
 def _(context, count, seed):
-    _begin(context, count, seed, fake_members.Network())
+    _form_cluster(context, count, seed, fake_members.Network())
 
 
 @given("{count:d} members with seed {seed:d} on a network that loses a tenth")
 def _(context, count, seed):
     network = fake_members.Network(0.1, 0.1, 0.001, 0.1)
-    _begin(context, count, seed, network)
+    _form_cluster(context, count, seed, network)
 
 
 @given("{count:d} blank instances with seed {seed:d} that are not started")
@@ -65,17 +67,20 @@
     context.members.submit(name, event)
 
 
-@when('"{name}" gets edit "{change_id}" of revision {expect:d}')
+@when('"{name}" receives edit "{change_id}" of revision {expect:d}')
 def _(context, name, change_id, expect):
     _edit(context, name, change_id, expect)
 
 
-@when('"{name}" gets edit "{change_id}" of revision {expect:d} saying "{text}"')
+@when(
+    '"{name}" receives edit "{change_id}" of revision {expect:d} saying'
+    ' "{text}"'
+)
 def _(context, name, change_id, expect, text):
     _edit(context, name, change_id, expect, text)
 
 
-@when('"{name}" gets {count:d} edits one after another')
+@when('"{name}" receives {count:d} edits one after another')
 def _(context, name, count):
     for number in range(count):
         expect = context.members.nodes[name].learned.revision
@@ -83,25 +88,25 @@
         context.members.run(1)
 
 
-def _ask(context, name, make):
+def _submit(context, name, make_operation):
     request = 10_000 + len(context.members.results)
-    context.last = request
-    context.members.submit(name, make(request))
+    context.last_request = request
+    context.members.submit(name, make_operation(request))
 
 
-@when('"{name}" gets a read')
+@when('"{name}" receives a read')
 def _(context, name):
-    _ask(context, name, messages.Read)
+    _submit(context, name, messages.Read)
 
 
 @when('"{name}" is asked to add the member "{new}"')
 def _(context, name, new):
-    _ask(context, name, lambda request: messages.AddMember(request, new))
+    _submit(context, name, lambda request: messages.AddMember(request, new))
 
 
 @when('"{name}" is asked to remove the member "{old}"')
 def _(context, name, old):
-    _ask(context, name, lambda request: messages.RemoveMember(request, old))
+    _submit(context, name, lambda request: messages.RemoveMember(request, old))
 
 
 @when("{seconds:d} s pass")
@@ -109,17 +114,17 @@
     context.members.run(seconds)
 
 
-@when('"{name}" is cut off')
+@when('"{name}" is isolated')
 def _(context, name):
     context.members.isolate(name)
 
 
-@when('messages from "{one}" to "{two}" are lost')
-def _(context, one, two):
-    context.members.cut.add((one, two))
+@when('messages from "{sender}" to "{receiver}" are lost')
+def _(context, sender, receiver):
+    context.members.cut_links.add((sender, receiver))
 
 
-@when("all cuts end")
+@when("the network recovers")
 def _(context):
     context.members.heal()
 
@@ -144,18 +149,18 @@
     context.members.freeze(name)
 
 
-@when('"{name}" thaws')
+@when('"{name}" resumes')
 def _(context, name):
     context.members.thaw(name)
 
 
-@when('"{name}" loses its disk and comes back blank')
+@when('"{name}" restarts on a blank disk')
 def _(context, name):
     context.members.wipe(name)
     context.members.start(name)
 
 
-@when('"{name}" loses its disk and stays down')
+@when('"{name}" loses its disk and stays stopped')
 def _(context, name):
     context.members.wipe(name)
 
@@ -165,7 +170,7 @@
     context.copy = context.members.disks[name].copy()
 
 
-@when('the copy is put back on "{name}" and started')
+@when('"{name}" is started with the copy')
 def _(context, name):
     context.members.crash(name)
     context.members.disks[name] = context.copy
@@ -177,29 +182,32 @@
     context.members.disks[name].full = True
 
 
-@when('the disk of "{name}" is emptied')
+@when('the disk of "{name}" is freed')
 def _(context, name):
     context.members.disks[name].full = False
 
 
-@when('the disk of "{name}" has room again')
+@when('the storage of "{name}" recovers')
 def _(context, name):
-    context.members.mend_storage(name)
+    context.members.recover_storage(name)
 
 
-@when('a further instance "{name}" starts blank')
+@when('a new instance "{name}" starts blank')
 def _(context, name):
     context.members.add_instance(name)
 
 
-@when("all of them vote again")
+@when("all instances vote again")
 def _(context):
     assert context.members.run_until(lambda: _all_vote(context), _FORM_S)
 
 
-@then('exactly one of "{one}" and "{two}" is accepted, the other told who won')
-def _(context, one, two):
-    results = {name: _result(context, name) for name in (one, two)}
+@then(
+    'exactly one of "{first}" and "{second}" is accepted, the other names the'
+    " winner"
+)
+def _(context, first, second):
+    results = {name: _result(context, name) for name in (first, second)}
     accepted = [
         name
         for name, result in results.items()
@@ -207,17 +215,17 @@
     ]
     assert len(accepted) == 1, results
     (winner,) = accepted
-    loser = two if winner == one else one
+    loser = second if winner == first else first
     assert results[loser] == messages.EditConflict(1, winner), results
 
 
-@then('edit "{change_id}" is certain never to take effect')
+@then('edit "{change_id}" is not accepted')
 def _(context, change_id):
     result = _result(context, change_id)
     assert isinstance(result, messages.EditNotAccepted), result
 
 
-@then('the outcome of edit "{change_id}" is not known')
+@then('the outcome of edit "{change_id}" is unknown')
 def _(context, change_id):
     result = _result(context, change_id)
     assert result == messages.OutcomeUnknown(), result
@@ -234,55 +242,55 @@
     assert result == messages.EditAccepted(revision), result
 
 
-@then('edit "{change_id}" lost revision {revision:d} to "{winner}"')
+@then('edit "{change_id}" conflicts at revision {revision:d} with "{winner}"')
 def _(context, change_id, revision, winner):
     result = _result(context, change_id)
     assert result == messages.EditConflict(revision, winner), result
 
 
-@then('edit "{change_id}" is refused, its id being that of revision {number:d}')
+@then('edit "{change_id}" is refused, its id is used by revision {number:d}')
 def _(context, change_id, number):
     result = _result(context, change_id)
     assert result == messages.ChangeIdReused(number), result
 
 
-@then("the read shows revision {revision:d}")
+@then("the read returns revision {revision:d}")
 def _(context, revision):
-    result = context.members.results[context.last]
+    result = context.members.results[context.last_request]
     assert isinstance(result, messages.ReadDone), result
     assert result.register.revision == revision, result.register.revision
 
 
 @then("the read is refused")
 def _(context):
-    result = context.members.results[context.last]
+    result = context.members.results[context.last_request]
     assert isinstance(result, messages.EditNotAccepted), result
 
 
 @then("the members are {names}")
 def _(context, names):
-    result = context.members.results[context.last]
+    result = context.members.results[context.last_request]
     assert isinstance(result, messages.MembersChanged), result
-    found = [member.name for member in result.members]
-    assert found == re.findall(r'"(.*?)"', names), found
+    members = [member.name for member in result.members]
+    assert members == re.findall(r'"(.*?)"', names), members
 
 
 @then('the change of members is refused: "{reason}"')
 def _(context, reason):
-    result = context.members.results[context.last]
+    result = context.members.results[context.last_request]
     assert isinstance(result, messages.EditNotAccepted), result
     assert reason in result.reason, result.reason
 
 
-@then('"{name}" holds revision {revision:d}')
+@then('"{name}" has learned revision {revision:d}')
 def _(context, name, revision):
-    found = context.members.nodes[name].learned.revision
-    assert found == revision, found
+    learned = context.members.nodes[name].learned.revision
+    assert learned == revision, learned
 
 
 @then('"{name}" votes')
 def _(context, name):
-    assert context.members.voting(name), context.members.nodes[name].fault
+    assert context.members.is_voting(name), context.members.nodes[name].fault
 
 
 @then('"{name}" does not vote: "{reason}"')
@@ -291,12 +299,12 @@
     assert reason in fault, fault
 
 
-@then('"{name}" holds nothing and does not form a cluster')
+@then('"{name}" stays blank and forms no cluster')
 def _(context, name):
     assert context.members.nodes[name].replica.is_blank
 
 
-@then("all agree on revision {revision:d}")
+@then("all instances agree on revision {revision:d}")
 def _(context, revision):
     registers = {node.learned for node in context.members.nodes.values()}
     assert len(registers) == 1, registers
@@ -305,7 +313,9 @@
     context.history.check_final(register)
 
 
-@then("{count:d} s of idling cost at most {most:d} messages and no save")
+@then(
+    "{count:d} s without operations cost at most {most:d} messages and no save"
+)
 def _(context, count, most):
     sent, saves = context.members.sent, context.members.saves
     context.members.run(count)
@@ -314,15 +324,15 @@
     assert cost <= most, cost
 
 
-@when('"{name}" edits {edits:d} times and a kill strikes at every save')
+@when('"{name}" makes {edits:d} edits, with a kill at each save in turn')
 def _(context, name, edits):
-    """Run anew for each save point of the edits, with a kill there."""
+    """Repeat the edits with a kill before and after each save in turn."""
     context.kills = []
     for place in ("before", "after"):
         for ahead in range(1, 500):
-            _begin(context, 3, ahead, fake_members.Network())
-            first = context.members.saves
-            context.members.crash_at_save = {first + ahead: place}
+            _form_cluster(context, 3, ahead, fake_members.Network())
+            saves = context.members.saves
+            context.members.crash_at_save = {saves + ahead: place}
             for number in range(edits):
                 _edit_until_accepted(context, name, number)
             _check_kill(context)
@@ -332,7 +342,7 @@
 
 
 def _edit_until_accepted(context, name, number):
-    """Send an edit, and again each time that its outcome is not known."""
+    """Send an edit, and resend it until it is accepted."""
     change_id = f"edit-{number}"
     accepted = messages.EditAccepted(number + 1)
     for _ in range(5):
@@ -348,19 +358,19 @@
 
 
 def _check_kill(context):
-    """All must agree and hold what was accepted."""
+    """Check that all members agree and have every accepted edit."""
     assert context.members.run_until(lambda: _all_vote(context), _FORM_S)
     registers = {node.learned for node in context.members.nodes.values()}
     assert len(registers) == 1, registers
     context.history.check_final(registers.pop())
 
 
-@then("at least {count:d} steps conformed")
+@then("at least {count:d} steps conform to the specification")
 def _(context, count):
     assert context.replay.steps >= count, context.replay.steps
 
 
-@then("no accepted edit is lost by any of at least {count:d} kills")
+@then("no accepted edit is lost in any of at least {count:d} kills")
 def _(context, count):
     assert len(context.kills) >= count, len(context.kills)
 
@@ -387,30 +397,30 @@
     stateful.run_state_machine_as_test(machine, settings=settings)
 
 
-@when("members run at random under failures one at a time and in pairs")
+@when("random operations run under single and double failures")
 def _(context):
     _run_machine(fake_members.node.Node)
 
 
-@when("members run at random while silent ones are dismissed and come back")
+@when("random operations run while members are removed and added again")
 def _(context):
     _run_machine(fake_members.node.Node, register_machine.ReturningMachine)
 
 
-@then("every invariant of the register held")
+@then("every invariant of the register holds")
 def _(context):
-    """The run raises when one does not."""
+    """The random run raises if an invariant is violated."""
 
 
 @given("members that break the rule {rule}")
 def _(context, rule):
-    context.broken = rule
+    context.broken_rule = rule
 
 
-@then("the broken members are caught by {judge}: {what}")
-def _(context, judge, what):
-    caught = broken_members.catch(context.broken, judge, what)
-    assert what in caught, caught
+@then("the broken members are detected by {checker}: {message}")
+def _(context, checker, message):
+    failure = broken_members.catch(context.broken_rule, checker, message)
+    assert message in failure, failure
 
 
 @when("a member learns revision {high:d} and then revision {low:d}")
@@ -423,13 +433,13 @@
     ]
 
 
-@then("the history says that {what}")
-def _(context, what):
+@then("the history check fails with {message}")
+def _(context, message):
     first, second = context.learned
     context.history.observe("control-1", messages.Learned(first))
     try:
         context.history.observe("control-1", messages.Learned(second))
     except AssertionError as exc:
-        assert what in str(exc), exc
+        assert message in str(exc), exc
         return
-    raise AssertionError("the history found nothing")
+    raise AssertionError("the history accepted the second revision")
--- a/tests/steps/core/consensus/query_steps.py
+++ b/tests/steps/core/consensus/query_steps.py
@@ -14,8 +14,8 @@
 _NEW = messages.Ballot(6, "i5")
 
 
-class _View:
-    def majority_heard(self, members):
+class _PeerView:
+    def is_majority_reachable(self, members):
         return True
 
 
@@ -25,17 +25,19 @@
     )
 
 
-@given("a member of {count:d} that holds revision {revision:d} and reads")
+@given(
+    "a read at one of {count:d} members that has accepted revision {revision:d}"
+)
 def _(context, count, revision):
     members = tuple(_member(number) for number in range(1, count + 1))
     context.register = messages.Register(
         cluster="c", revision=revision, value=b"old", members=members
     )
-    durable = messages.Durable(_OLD, _OLD, context.register)
+    durable = messages.DurableState(_OLD, _OLD, context.register)
     identity = messages.Identity(members[0], 1, "n1")
     context.replica = replica.Replica(identity, durable)
     context.proposer = proposer.Proposer(
-        context.replica, random.Random(1), 1.0, 8.0, lambda now: _View()
+        context.replica, random.Random(1), 1.0, 8.0, lambda now: _PeerView()
     )
     context.effects = []
     context.proposer.submit(messages.Read(1), 0.0, context.effects)
@@ -51,8 +53,8 @@
         )
 
 
-@when("{count:d} other answers that it holds revision 4")
-@when("{count:d} others answer that they hold revision 4")
+@when("{count:d} other member answers that it has accepted revision 4")
+@when("{count:d} other members answer that they have accepted revision 4")
 def _(context, count):
     _answer(context, count, _OLD)
 
@@ -64,7 +66,10 @@
     assert context.replica.vote(vote, context.effects) is not None
 
 
-@when("{count:d} other answers that it holds the proposed revision 5")
+@when(
+    "{count:d} other member answers that it has accepted the proposed"
+    " revision 5"
+)
 def _(context, count):
     _answer(context, count, _NEW)
 
@@ -77,13 +82,13 @@
     ]
 
 
-@then("the member takes revision 5 for chosen no more than the others do")
+@then("the reading member does not treat revision 5 as chosen")
 def _(context):
     assert context.replica.chosen_ballot < _NEW, context.replica.chosen
     assert not _results(context), _results(context)
 
 
-@then("the member's read ends with revision {revision:d}")
+@then("the read of the member returns revision {revision:d}")
 def _(context, revision):
     (result,) = _results(context)
     assert result.register.revision == revision, result
