--- a/bench/capacity/placement.py
+++ b/bench/capacity/placement.py
@@ -48,7 +48,7 @@
         self.holder = holder.Holder(
             self.me, "dar-1", lambda _: other.name, lambda _: True, rng
         )
-        self._beat = messages.Beat(_KEY, 7, other, False)
+        self._beat = messages.GrantorHeartbeat(_KEY, 7, other, False)
         self.beat(0.0)
         self.bytes = 0
         self.messages = 0
--- a/hyssopfold/core/balancing/holder.py
+++ b/hyssopfold/core/balancing/holder.py
@@ -18,7 +18,7 @@
 
 
 class _Leader(NamedTuple):
-    beat: messages.Beat
+    beat: messages.GrantorHeartbeat
     heard_at: float
 
     @property
@@ -132,7 +132,9 @@
         beat = self.last_beat(key, now)
         return beat.grantor.name if beat is not None else None
 
-    def last_beat(self, key: messages.Key, now: float) -> messages.Beat | None:
+    def last_beat(
+        self, key: messages.Key, now: float
+    ) -> messages.GrantorHeartbeat | None:
         """Return the last word of the grantor that was heard of lately."""
         leader = self._leaders.get(key)
         if leader is None or now - leader.heard_at > HEARD_S:
@@ -171,7 +173,9 @@
         self._promised[key] = max(self._promised.get(key, 0), term)
         return tuple(self._holds.get(key, {}).values())
 
-    def beat(self, beat: messages.Beat, now: float) -> list[messages.Effect]:
+    def beat(
+        self, beat: messages.GrantorHeartbeat, now: float
+    ) -> list[messages.Effect]:
         """Note who grants; tell it what is held here."""
         key = beat.key
         if beat.term < self.term(key):
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -189,7 +189,7 @@
     candidate: Member
 
 
-class Beat(NamedTuple):
+class GrantorHeartbeat(NamedTuple):
     """The grantor tells that it is there, to entries that may ask it.
 
     `alone` says that control has not given it the term.
@@ -262,7 +262,7 @@
     Claim
     | Vote
     | Resign
-    | Beat
+    | GrantorHeartbeat
     | Ask
     | Granted
     | Denied
--- a/hyssopfold/core/balancing/node.py
+++ b/hyssopfold/core/balancing/node.py
@@ -319,7 +319,9 @@
         if now < self._beat_at.get(key, 0.0):
             return []
         held = self._seats[key].election
-        beat = messages.Beat(key, held.term, self._cfg.me, held.alone)
+        beat = messages.GrantorHeartbeat(
+            key, held.term, self._cfg.me, held.alone
+        )
         members = {one.name for one in held.members}
         names = sorted(members.union(self._nearby(key.region)))
         period = BEAT_MANY_S if len(names) > MANY else BEAT_S
@@ -369,7 +371,7 @@
         return effects
 
     def take_beat(
-        self, beat: messages.Beat, sender: str, now: float
+        self, beat: messages.GrantorHeartbeat, sender: str, now: float
     ) -> list[messages.Effect]:
         """Note who grants; tell one that was replaced of the newer term."""
         seat = self._seats.get(beat.key)
@@ -499,7 +501,7 @@
 
 @_receive.register
 def _(
-    message: messages.Beat, node: Node, sender: str, now: float
+    message: messages.GrantorHeartbeat, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
     return node.take_beat(message, sender, now)
 
--- a/hyssopfold/transport/datagram_wire.py
+++ b/hyssopfold/transport/datagram_wire.py
@@ -25,7 +25,7 @@
     1: placement.Claim,
     2: placement.Vote,
     3: placement.Resign,
-    4: placement.Beat,
+    4: placement.GrantorHeartbeat,
     5: placement.Ask,
     6: placement.Granted,
     7: placement.Denied,
--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -221,7 +221,7 @@
     done = messages.Done("answered", 0.05)
     assert entry.node.handle(node.Release(grant, done), now) == []
     newer = messages.Member("e9", 99)
-    beat = messages.Beat(KEY, context.term, newer, False)
+    beat = messages.GrantorHeartbeat(KEY, context.term, newer, False)
     effects = entry.node.handle(node.Received("e9", beat), now)
     assert [(one.to, one.message.holds) for one in effects] == [("e9", ())]
 
