--- a/bench/capacity/placement.py
+++ b/bench/capacity/placement.py
@@ -76,13 +76,13 @@
         for effect in self.holder.acquire(number, req, now):
             assert isinstance(effect, messages.Send)
             ask = self.wire(effect.message)
-            assert isinstance(ask, messages.Ask)
+            assert isinstance(ask, messages.SlotRequest)
             for answer in self.grantor.ask(ask, now):
                 assert isinstance(answer, messages.Send)
                 self._take(self.wire(answer.message), now)
 
     def _take(self, message: messages.Message, now: float) -> None:
-        assert isinstance(message, messages.Granted), message
+        assert isinstance(message, messages.SlotGranted), message
         for effect in self.holder.granted("entry-002", message, now):
             assert isinstance(effect, messages.Answer)
             assert isinstance(effect.result, messages.Grant)
@@ -95,7 +95,7 @@
         for effect in self.holder.release(grant, done, now):
             assert isinstance(effect, messages.Send)
             release = self.wire(effect.message)
-            assert isinstance(release, messages.Release)
+            assert isinstance(release, messages.SlotRelease)
             self.grantor.release(release, now)
 
 
--- a/hyssopfold/core/balancing/election.py
+++ b/hyssopfold/core/balancing/election.py
@@ -23,7 +23,7 @@
     """A term was won; `silent` ones may use slots that were not reported."""
 
     term: int
-    reports: Mapping[messages.Member, tuple[messages.Hold, ...]]
+    reports: Mapping[messages.Member, tuple[messages.HeldSlot, ...]]
     silent: frozenset[messages.Member]
     # The last grantor, and how many slots of a server it may use itself.
     last: messages.Member | None = None
--- a/hyssopfold/core/balancing/grantor.py
+++ b/hyssopfold/core/balancing/grantor.py
@@ -55,7 +55,7 @@
         self._key = key
         self._health = known
         self._rng = rng
-        self._queue: queue.Queue[messages.Ask] = queue.Queue()
+        self._queue: queue.Queue[messages.SlotRequest] = queue.Queue()
         self._heard: dict[messages.Member, float] = {}
         self._since = now
         self._capacity = 0
@@ -94,7 +94,9 @@
         """Return the asks in the queue."""
         return len(self._queue)
 
-    def ask(self, ask: messages.Ask, now: float) -> list[messages.Effect]:
+    def ask(
+        self, ask: messages.SlotRequest, now: float
+    ) -> list[messages.Effect]:
         """Grant, queue or deny; a doubled ask gets its first grant again."""
         self._heard[ask.holder] = now
         held = self.ledger.find(ask.holder, ask.number)
@@ -111,42 +113,42 @@
         return []
 
     def _regrant(
-        self, ask: messages.Ask, held: messages.Hold
+        self, ask: messages.SlotRequest, held: messages.HeldSlot
     ) -> list[messages.Effect]:
         server = self._servers.get(held.server_id)
         if server is None or server.incarnation != held.server_incarnation:
             # Its first grant may have arrived: the slot stays counted, and
             # the holder gives it back when it waits no longer.
             return []
-        granted = messages.Granted(
+        granted = messages.SlotGranted(
             self._key, self.term, ask.holder, ask.number, server
         )
         return [messages.Send(ask.holder.name, granted)]
 
     def _grant(
-        self, ask: messages.Ask, server: membership.Server, now: float
+        self, ask: messages.SlotRequest, server: membership.Server, now: float
     ) -> list[messages.Effect]:
         self.ledger.grant(ask.holder, ask.number, server)
         self._turn += 1
         self._turns[server.server_id] = self._turn
         self._health.used(server.server_id, self._warm_up_s, now)
-        granted = messages.Granted(
+        granted = messages.SlotGranted(
             self._key, self.term, ask.holder, ask.number, server
         )
         return [messages.Send(ask.holder.name, granted)]
 
     def _deny(
-        self, ask: messages.Ask, reason: str, now: float
+        self, ask: messages.SlotRequest, reason: str, now: float
     ) -> messages.Effect:
         wait = max(MIN_RETRY_AFTER_S, self._queue.wait_s(9, now))
         # Callers that were refused together must not come back together.
         spread = wait * self._rng.uniform(1.0, 2.0)
-        denied = messages.Denied(
+        denied = messages.SlotDenied(
             self._key, ask.holder, ask.number, reason, spread
         )
         return messages.Send(ask.holder.name, denied)
 
-    def _pick(self, ask: messages.Ask) -> membership.Server | None:
+    def _pick(self, ask: messages.SlotRequest) -> membership.Server | None:
         if ask.moved and not self._moved_fits():
             return None
         free = [
@@ -161,7 +163,7 @@
             return None
         return min(free, key=lambda one: self._rank(one, ask))
 
-    def _is_held(self, ask: messages.Ask) -> bool:
+    def _is_held(self, ask: messages.SlotRequest) -> bool:
         """Return whether more than free slots decides, so that others go on.
 
         So it is with asks moved in, of this entry, with domains shut or with
@@ -180,7 +182,7 @@
         return used + 1 <= self._capacity * (1 - self._headroom)
 
     def _rank(
-        self, server: membership.Server, ask: messages.Ask
+        self, server: membership.Server, ask: messages.SlotRequest
     ) -> tuple[bool, float, int]:
         used = self.ledger.used(server.server_id)
         # Its own count is exact, so what servers report is not used here.
@@ -192,7 +194,7 @@
         )
 
     def release(
-        self, release: messages.Release, now: float
+        self, release: messages.SlotRelease, now: float
     ) -> list[messages.Effect]:
         """Take a slot or an ask back and serve who waits."""
         self._heard[release.holder] = now
@@ -209,7 +211,9 @@
             if ask.holder == holder and ask.number == number:
                 self._queue.remove(ask)
 
-    def sync(self, sync: messages.Sync, now: float) -> list[messages.Effect]:
+    def sync(
+        self, sync: messages.SlotSync, now: float
+    ) -> list[messages.Effect]:
         """Free what a holder no longer uses: its releases were lost."""
         self._heard[sync.holder] = now
         kept = {hold.number for hold in sync.holds}.union(sync.open_asks)
--- a/hyssopfold/core/balancing/holder.py
+++ b/hyssopfold/core/balancing/holder.py
@@ -30,7 +30,7 @@
     ticket: int
     req: messages.Request
     step: int
-    ask: messages.Ask
+    ask: messages.SlotRequest
     until: float
     resend_at: float
 
@@ -75,7 +75,7 @@
         self._given: dict[messages.Key, int] = {}
         self._alone: dict[messages.Key, int] = {}
         self._open: dict[int, _Open] = {}
-        self._holds: dict[messages.Key, dict[int, messages.Hold]] = {}
+        self._holds: dict[messages.Key, dict[int, messages.HeldSlot]] = {}
         self._unsynced: set[messages.Key] = set()
         self._number = 0
 
@@ -108,7 +108,7 @@
                 reason = "no-grantor"
                 continue
             self._number += 1
-            ask = messages.Ask(
+            ask = messages.SlotRequest(
                 key,
                 self._me,
                 self._number,
@@ -168,7 +168,7 @@
 
     def promise(
         self, key: messages.Key, term: int
-    ) -> tuple[messages.Hold, ...]:
+    ) -> tuple[messages.HeldSlot, ...]:
         """Refuse grants of older terms from now on; return what is held."""
         self._promised[key] = max(self._promised.get(key, 0), term)
         return tuple(self._holds.get(key, {}).values())
@@ -194,13 +194,13 @@
         self._unsynced.discard(key)
         if held or asks:
             self._unsynced.add(key)
-        sync = messages.Sync(
+        sync = messages.SlotSync(
             key, self._me, self._number, tuple(held.values()), asks
         )
         return [messages.Send(leader.name, sync)]
 
     def granted(
-        self, sender: str, granted: messages.Granted, now: float
+        self, sender: str, granted: messages.SlotGranted, now: float
     ) -> list[messages.Effect]:
         """Use a slot, or give it back when no one waits for it."""
         if granted.holder != self._me:
@@ -221,7 +221,7 @@
             return effects + self._again(one, "server-left", now)
         self._promised[key] = granted.term
         server = granted.server
-        hold = messages.Hold(number, server.server_id, server.incarnation)
+        hold = messages.HeldSlot(number, server.server_id, server.incarnation)
         self._holds.setdefault(key, {})[number] = hold
         reason = "moved" if one.ask.moved else "home"
         grant = messages.Grant(server, reason, key, number)
@@ -237,11 +237,11 @@
         self, to: str, key: messages.Key, number: int
     ) -> messages.Effect:
         done = messages.Done("cancelled", 0.0)
-        release = messages.Release(key, self._me, number, done)
+        release = messages.SlotRelease(key, self._me, number, done)
         return messages.Send(to, release)
 
     def denied(
-        self, denied: messages.Denied, now: float
+        self, denied: messages.SlotDenied, now: float
     ) -> list[messages.Effect]:
         """Try the next region, or refuse at once."""
         if denied.holder != self._me:
@@ -271,7 +271,7 @@
         leader = self.leader(key, now)
         if leader is None:
             return []
-        release = messages.Release(key, self._me, grant.number, done)
+        release = messages.SlotRelease(key, self._me, grant.number, done)
         return [messages.Send(leader, release)]
 
     def cancel(self, ticket: int, now: float) -> list[messages.Effect]:
@@ -329,7 +329,7 @@
                 counts[hold.server_id] = counts.get(hold.server_id, 0) + 1
         return counts
 
-    def holds(self) -> list[messages.Hold]:
+    def holds(self) -> list[messages.HeldSlot]:
         """Return all slots in use here."""
         return [
             hold for holds in self._holds.values() for hold in holds.values()
--- a/hyssopfold/core/balancing/ledger.py
+++ b/hyssopfold/core/balancing/ledger.py
@@ -36,7 +36,7 @@
 
     def __init__(
         self,
-        reports: Mapping[messages.Member, Iterable[messages.Hold]],
+        reports: Mapping[messages.Member, Iterable[messages.HeldSlot]],
         silent: Iterable[messages.Member],
         last: messages.Member | None = None,
         last_limit: int = 0,
@@ -45,7 +45,7 @@
         self._last = last
         self._last_limit = last_limit
         self._by_holder: Counter[tuple[messages.Member, str]] = Counter()
-        self._holds: dict[_Name, messages.Hold] = {}
+        self._holds: dict[_Name, messages.HeldSlot] = {}
         # By server and its life: what an earlier life ran has ended, and
         # gives no right to a slot of the present one.
         self._used: Counter[tuple[str, int]] = Counter()
@@ -54,7 +54,7 @@
             for hold in holds:
                 self._add(holder, hold)
 
-    def _add(self, holder: messages.Member, hold: messages.Hold) -> None:
+    def _add(self, holder: messages.Member, hold: messages.HeldSlot) -> None:
         name = _Name(holder, hold.number)
         if name not in self._holds:
             self._holds[name] = hold
@@ -62,7 +62,7 @@
             self._by_holder[holder, hold.server_id] += 1
 
     def report(
-        self, holder: messages.Member, holds: Iterable[messages.Hold]
+        self, holder: messages.Member, holds: Iterable[messages.HeldSlot]
     ) -> None:
         """Take in the report of a member that was silent."""
         answered = {
@@ -143,18 +143,18 @@
             AssertionError: when the server has no slot left.
         """
         assert self.used(server.server_id) < server.slots, server.server_id
-        hold = messages.Hold(number, server.server_id, server.incarnation)
+        hold = messages.HeldSlot(number, server.server_id, server.incarnation)
         self._add(holder, hold)
 
     def find(
         self, holder: messages.Member, number: int
-    ) -> messages.Hold | None:
+    ) -> messages.HeldSlot | None:
         """Return what a holder has under this number."""
         return self._holds.get(_Name(holder, number))
 
     def release(
         self, holder: messages.Member, number: int
-    ) -> messages.Hold | None:
+    ) -> messages.HeldSlot | None:
         """Take a slot out; return it, or None when it was not counted."""
         hold = self._holds.pop(_Name(holder, number), None)
         if hold is not None:
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -128,7 +128,7 @@
     incarnation: int
 
 
-class Hold(NamedTuple):
+class HeldSlot(NamedTuple):
     """A slot in use: `number` is the holder's, growing from ask to ask."""
 
     number: int
@@ -178,7 +178,7 @@
     seen_own_limit: int
     given_term: int
     alone_term: int
-    holds: tuple[Hold, ...] | None
+    holds: tuple[HeldSlot, ...] | None
 
 
 class Resign(NamedTuple):
@@ -201,7 +201,7 @@
     alone: bool
 
 
-class Ask(NamedTuple):
+class SlotRequest(NamedTuple):
     """A holder wants a slot within `wait_s` seconds."""
 
     key: Key
@@ -215,7 +215,7 @@
     closed_domains: tuple[str, ...] = ()
 
 
-class Granted(NamedTuple):
+class SlotGranted(NamedTuple):
     """A slot for the ask with this number of this life of the holder."""
 
     key: Key
@@ -225,7 +225,7 @@
     server: membership.Server
 
 
-class Denied(NamedTuple):
+class SlotDenied(NamedTuple):
     """No slot for the ask with this number; it is forgotten."""
 
     key: Key
@@ -235,7 +235,7 @@
     retry_after_s: float
 
 
-class Release(NamedTuple):
+class SlotRelease(NamedTuple):
     """A slot, or an ask that no one waits for any more, is given back."""
 
     key: Key
@@ -244,7 +244,7 @@
     done: Done
 
 
-class Sync(NamedTuple):
+class SlotSync(NamedTuple):
     """All slots that a holder uses, among its asks up to number `high`.
 
     What the grantor counts beyond these was released, and the release lost;
@@ -254,7 +254,7 @@
     key: Key
     holder: Member
     high: int
-    holds: tuple[Hold, ...]
+    holds: tuple[HeldSlot, ...]
     open_asks: tuple[int, ...]
 
 
@@ -263,11 +263,11 @@
     | Vote
     | Resign
     | GrantorHeartbeat
-    | Ask
-    | Granted
-    | Denied
-    | Release
-    | Sync
+    | SlotRequest
+    | SlotGranted
+    | SlotDenied
+    | SlotRelease
+    | SlotSync
     | Silent
     | Busy
 )
--- a/hyssopfold/core/balancing/node.py
+++ b/hyssopfold/core/balancing/node.py
@@ -395,7 +395,9 @@
             return []
         return [messages.Send(to, beat)]
 
-    def take_ask(self, ask: messages.Ask, now: float) -> list[messages.Effect]:
+    def take_ask(
+        self, ask: messages.SlotRequest, now: float
+    ) -> list[messages.Effect]:
         """Grant when this entry is the grantor, else say who is."""
         granting = self.granting(ask.key)
         if granting is None:
@@ -508,28 +510,28 @@
 
 @_receive.register
 def _(
-    message: messages.Ask, node: Node, sender: str, now: float
+    message: messages.SlotRequest, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
     return node.take_ask(message, now)
 
 
 @_receive.register
 def _(
-    message: messages.Granted, node: Node, sender: str, now: float
+    message: messages.SlotGranted, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
     return node.holder.granted(sender, message, now)
 
 
 @_receive.register
 def _(
-    message: messages.Denied, node: Node, sender: str, now: float
+    message: messages.SlotDenied, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
     return node.holder.denied(message, now)
 
 
 @_receive.register
 def _(
-    message: messages.Release, node: Node, sender: str, now: float
+    message: messages.SlotRelease, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
     granting = node.granting(message.key)
     return granting.release(message, now) if granting is not None else []
@@ -545,7 +547,7 @@
 
 @_receive.register
 def _(
-    message: messages.Sync, node: Node, sender: str, now: float
+    message: messages.SlotSync, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
     granting = node.granting(message.key)
     return granting.sync(message, now) if granting is not None else []
--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -235,7 +235,7 @@
     holder = entry.node.holder
     (number,) = holder.open_numbers()
     earlier = messages.Member(entry.me.name, entry.me.incarnation - 1)
-    granted = messages.Granted(
+    granted = messages.SlotGranted(
         KEY, 99, earlier, number, fake_entries.server("s0")
     )
     world.submit(context.name, node.Received("e9", granted))
