--- a/bench/capacity/placement.py
+++ b/bench/capacity/placement.py
@@ -21,7 +21,7 @@
 SERVERS = (12, 32, 71, 150)
 REQUESTS = 3000
 _UDP_BYTES = 28
-_KEY = messages.Key("ledger", "dar")
+_KEY = messages.PoolRegion("ledger", "dar")
 _POOL = tables.Pool("ledger", 3, 330, 0.2, 0.1, 4000, 0.0, tables.Drains())
 _LOAD = 0.85
 
--- a/bench/placement_failover.py
+++ b/bench/placement_failover.py
@@ -22,7 +22,7 @@
 AFTER_S = 8.0
 RESTART_S = 5.0
 CASES = ("leaves", "killed", "frozen", "killed, control cut off")
-KEY = messages.Key("ledger", "dar")
+KEY = messages.PoolRegion("ledger", "dar")
 
 
 class Outcome(NamedTuple):
--- a/hyssopfold/core/balancing/election.py
+++ b/hyssopfold/core/balancing/election.py
@@ -58,7 +58,7 @@
 
     def __init__(
         self,
-        key: messages.Key,
+        key: messages.PoolRegion,
         me: messages.Member,
         control: Collection[str],
     ) -> None:
--- a/hyssopfold/core/balancing/grantor.py
+++ b/hyssopfold/core/balancing/grantor.py
@@ -40,7 +40,7 @@
     def __init__(
         self,
         won: election.Won,
-        key: messages.Key,
+        key: messages.PoolRegion,
         known: health.Health,
         rng: random.Random,
         now: float,
--- a/hyssopfold/core/balancing/holder.py
+++ b/hyssopfold/core/balancing/holder.py
@@ -61,7 +61,7 @@
         self,
         me: messages.Member,
         failure_domain: str,
-        guess: Callable[[messages.Key], str | None],
+        guess: Callable[[messages.PoolRegion], str | None],
         is_fit: Callable[[membership.Server], bool],
         rng: random.Random,
     ) -> None:
@@ -70,13 +70,15 @@
         self._guess = guess
         self._is_fit = is_fit
         self._rng = rng
-        self._leaders: dict[messages.Key, _Leader] = {}
-        self._promised: dict[messages.Key, int] = {}
-        self._given: dict[messages.Key, int] = {}
-        self._alone: dict[messages.Key, int] = {}
+        self._leaders: dict[messages.PoolRegion, _Leader] = {}
+        self._promised: dict[messages.PoolRegion, int] = {}
+        self._given: dict[messages.PoolRegion, int] = {}
+        self._alone: dict[messages.PoolRegion, int] = {}
         self._open: dict[int, _Open] = {}
-        self._holds: dict[messages.Key, dict[int, messages.HeldSlot]] = {}
-        self._unsynced: set[messages.Key] = set()
+        self._holds: dict[
+            messages.PoolRegion, dict[int, messages.HeldSlot]
+        ] = {}
+        self._unsynced: set[messages.PoolRegion] = set()
         self._number = 0
 
     def acquire(
@@ -97,7 +99,7 @@
         """Ask the next region of the request, or refuse when none is left."""
         for at in range(step, len(req.regions)):
             region = req.regions[at]
-            key = messages.Key(req.pool, region.name)
+            key = messages.PoolRegion(req.pool, region.name)
             target = self.leader(key, now)
             limit = WAIT_S
             if target is None:
@@ -127,13 +129,13 @@
         spread = retry_after_s * self._rng.uniform(1.0, 2.0)
         return [messages.Answer(ticket, messages.Refused(reason, spread))]
 
-    def leader(self, key: messages.Key, now: float) -> str | None:
+    def leader(self, key: messages.PoolRegion, now: float) -> str | None:
         """Return the grantor that was heard of lately."""
         beat = self.last_beat(key, now)
         return beat.grantor.name if beat is not None else None
 
     def last_beat(
-        self, key: messages.Key, now: float
+        self, key: messages.PoolRegion, now: float
     ) -> messages.GrantorHeartbeat | None:
         """Return the last word of the grantor that was heard of lately."""
         leader = self._leaders.get(key)
@@ -146,28 +148,28 @@
             return None
         return leader.beat
 
-    def term(self, key: messages.Key) -> int:
+    def term(self, key: messages.PoolRegion) -> int:
         """Return the highest term promised or heard of."""
         leader = self._leaders.get(key)
         heard = leader.beat.term if leader is not None else 0
         return max(self._promised.get(key, 0), heard)
 
-    def given_term(self, key: messages.Key) -> int:
+    def given_term(self, key: messages.PoolRegion) -> int:
         """Return the highest term heard of that control had given."""
         return self._given.get(key, 0)
 
-    def alone_term(self, key: messages.Key) -> int:
+    def alone_term(self, key: messages.PoolRegion) -> int:
         """Return the highest term heard of that had no control behind it."""
         return self._alone.get(key, 0)
 
-    def lost_leader(self, key: messages.Key, name: str) -> None:
+    def lost_leader(self, key: messages.PoolRegion, name: str) -> None:
         """Note that a grantor resigned."""
         leader = self._leaders.get(key)
         if leader is not None and leader.name == name:
             del self._leaders[key]
 
     def promise(
-        self, key: messages.Key, term: int
+        self, key: messages.PoolRegion, term: int
     ) -> tuple[messages.HeldSlot, ...]:
         """Refuse grants of older terms from now on; return what is held."""
         self._promised[key] = max(self._promised.get(key, 0), term)
@@ -234,7 +236,7 @@
         return self._ask(one.ticket, one.req, step, reason, RETRY_AFTER_S, now)
 
     def _give_back(
-        self, to: str, key: messages.Key, number: int
+        self, to: str, key: messages.PoolRegion, number: int
     ) -> messages.Effect:
         done = messages.Done("cancelled", 0.0)
         release = messages.SlotRelease(key, self._me, number, done)
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -57,7 +57,7 @@
 
     server: membership.Server
     reason: str
-    key: "Key | None" = None
+    key: "PoolRegion | None" = None
     number: int = 0
     known_load: float = 0.0
     load_age_s: float = NEVER_S
@@ -114,7 +114,7 @@
     elsewhere: bool = False
 
 
-class Key(NamedTuple):
+class PoolRegion(NamedTuple):
     """The slots that one grantor grants: those of a pool in a region."""
 
     pool: str
@@ -146,7 +146,7 @@
     that no more need be kept back when it falls silent.
     """
 
-    key: Key
+    key: PoolRegion
     term: int
     candidate: Member
     round: int
@@ -164,7 +164,7 @@
     the highest of a grantor without control.
     """
 
-    key: Key
+    key: PoolRegion
     term: int
     candidate: Member
     voter: Member
@@ -184,7 +184,7 @@
 class Resign(NamedTuple):
     """The grantor grants no more: another may take over at once."""
 
-    key: Key
+    key: PoolRegion
     term: int
     candidate: Member
 
@@ -195,7 +195,7 @@
     `alone` says that control has not given it the term.
     """
 
-    key: Key
+    key: PoolRegion
     term: int
     grantor: Member
     alone: bool
@@ -204,7 +204,7 @@
 class SlotRequest(NamedTuple):
     """A holder wants a slot within `wait_s` seconds."""
 
-    key: Key
+    key: PoolRegion
     holder: Member
     number: int
     priority: int
@@ -218,7 +218,7 @@
 class SlotGranted(NamedTuple):
     """A slot for the ask with this number of this life of the holder."""
 
-    key: Key
+    key: PoolRegion
     term: int
     holder: Member
     number: int
@@ -228,7 +228,7 @@
 class SlotDenied(NamedTuple):
     """No slot for the ask with this number; it is forgotten."""
 
-    key: Key
+    key: PoolRegion
     holder: Member
     number: int
     reason: str
@@ -238,7 +238,7 @@
 class SlotRelease(NamedTuple):
     """A slot, or an ask that no one waits for any more, is given back."""
 
-    key: Key
+    key: PoolRegion
     holder: Member
     number: int
     done: Done
@@ -251,7 +251,7 @@
     asks up to `high` that come later are late and must be ignored.
     """
 
-    key: Key
+    key: PoolRegion
     holder: Member
     high: int
     holds: tuple[HeldSlot, ...]
--- a/hyssopfold/core/balancing/node.py
+++ b/hyssopfold/core/balancing/node.py
@@ -111,10 +111,10 @@
         self._started = now
         self._leaving = False
         self._pools: Mapping[str, tables.Pool] = {}
-        self._seats: dict[messages.Key, _Seat] = {}
-        self._grantors: dict[messages.Key, grantor.Grantor] = {}
-        self._wanted: dict[messages.Key, set[messages.Member]] = {}
-        self._beat_at: dict[messages.Key, float] = {}
+        self._seats: dict[messages.PoolRegion, _Seat] = {}
+        self._grantors: dict[messages.PoolRegion, grantor.Grantor] = {}
+        self._wanted: dict[messages.PoolRegion, set[messages.Member]] = {}
+        self._beat_at: dict[messages.PoolRegion, float] = {}
         self._present: dict[str, float] = {}
         self.voter = voter.Voter(cfg.me, -math.inf, 0.0)
         self.holder = holder.Holder(
@@ -138,14 +138,14 @@
                 out.append(effect)
         return out
 
-    def granting(self, key: messages.Key) -> grantor.Grantor | None:
+    def granting(self, key: messages.PoolRegion) -> grantor.Grantor | None:
         """Return the grantor of a key, while this entry is it."""
         seat = self._seats.get(key)
         if seat is None or not seat.election.leading:
             return None
         return self._grantors.get(key)
 
-    def leading(self) -> list[messages.Key]:
+    def leading(self) -> list[messages.PoolRegion]:
         """Return the keys that this entry grants."""
         return [
             key for key, seat in self._seats.items() if seat.election.leading
@@ -166,13 +166,13 @@
             if entry.region == region
         ]
 
-    def _candidates(self, key: messages.Key) -> list[str]:
+    def _candidates(self, key: messages.PoolRegion) -> list[str]:
         names = set(self._nearby(key.region))
         if key.region == self._cfg.region and not self._leaving:
             names.add(self._cfg.me.name)
         return sorted(names, key=lambda name: _weight(key, name))
 
-    def _first_candidate(self, key: messages.Key) -> str | None:
+    def _first_candidate(self, key: messages.PoolRegion) -> str | None:
         candidates = self._candidates(key)
         return candidates[0] if candidates else None
 
@@ -187,8 +187,8 @@
 
     def _servers_by_key(
         self,
-    ) -> dict[messages.Key, list[membership.Server]]:
-        found: dict[messages.Key, list[membership.Server]] = {}
+    ) -> dict[messages.PoolRegion, list[membership.Server]]:
+        found: dict[messages.PoolRegion, list[membership.Server]] = {}
         # A pool that lost all its servers keeps its grantor.
         for key in self._seats:
             if key.pool in self._pools:
@@ -197,11 +197,11 @@
             if server.region != self._cfg.region or server.state != "ready":
                 continue
             if server.pool in self._pools:
-                key = messages.Key(server.pool, server.region)
+                key = messages.PoolRegion(server.pool, server.region)
                 found.setdefault(key, []).append(server)
         return found
 
-    def _seat(self, key: messages.Key, now: float) -> _Seat:
+    def _seat(self, key: messages.PoolRegion, now: float) -> _Seat:
         if key not in self._seats:
             self._seats[key] = _Seat(
                 election.Election(key, self._cfg.me, self._cfg.control),
@@ -212,7 +212,7 @@
 
     def _tick_key(
         self,
-        key: messages.Key,
+        key: messages.PoolRegion,
         servers: list[membership.Server],
         now: float,
     ) -> list[messages.Effect]:
@@ -239,7 +239,7 @@
         return effects + granting.serve(now) + self._beat(key, now)
 
     def _maybe_campaign(
-        self, key: messages.Key, seat: _Seat, now: float
+        self, key: messages.PoolRegion, seat: _Seat, now: float
     ) -> list[messages.Effect]:
         if self.holder.leader(key, now) is not None or self._leaving:
             self._seats[key] = seat._replace(unheard_since=now)
@@ -258,7 +258,7 @@
         )
 
     def _begin(
-        self, key: messages.Key, won: election.Won, now: float
+        self, key: messages.PoolRegion, won: election.Won, now: float
     ) -> list[messages.Effect]:
         seat = self._seats[key]
         self._grantors[key] = grantor.Grantor(
@@ -283,7 +283,7 @@
 
     def _propose(
         self,
-        key: messages.Key,
+        key: messages.PoolRegion,
         seat: _Seat,
         granting: grantor.Grantor,
         now: float,
@@ -315,7 +315,9 @@
         word = self._known.instances.get(one.name)
         return word is None or word.incarnation <= one.incarnation
 
-    def _beat(self, key: messages.Key, now: float) -> list[messages.Effect]:
+    def _beat(
+        self, key: messages.PoolRegion, now: float
+    ) -> list[messages.Effect]:
         if now < self._beat_at.get(key, 0.0):
             return []
         held = self._seats[key].election
@@ -346,7 +348,9 @@
             self._heard_term(claim.key, seat, vote.promised)
         return [messages.Send(claim.candidate.name, vote)]
 
-    def _heard_term(self, key: messages.Key, seat: _Seat, term: int) -> None:
+    def _heard_term(
+        self, key: messages.PoolRegion, seat: _Seat, term: int
+    ) -> None:
         if seat.election.heard_term(term):
             self.holder.lost_leader(key, self._cfg.me.name)
 
@@ -388,7 +392,7 @@
         return effects
 
     def _hint(
-        self, key: messages.Key, to: str, now: float
+        self, key: messages.PoolRegion, to: str, now: float
     ) -> list[messages.Effect]:
         beat = self.holder.last_beat(key, now)
         if beat is None or beat.grantor.name == to:
@@ -429,7 +433,7 @@
     return isinstance(effect, messages.Send) and effect.to == name
 
 
-def _weight(key: messages.Key, name: str) -> bytes:
+def _weight(key: messages.PoolRegion, name: str) -> bytes:
     text = f"{key.pool} {key.region} {name}".encode()
     return hashlib.blake2b(text, digest_size=8).digest()
 
--- a/hyssopfold/core/balancing/voter.py
+++ b/hyssopfold/core/balancing/voter.py
@@ -49,7 +49,7 @@
         me: messages.Member,
         started: float,
         lease_s: float = LEASE_S,
-        promises: Mapping[messages.Key, Promise] | None = None,
+        promises: Mapping[messages.PoolRegion, Promise] | None = None,
     ) -> None:
         self._me = me
         self._lease_s = lease_s
@@ -60,16 +60,16 @@
         }
         self.changed = False
 
-    def durable(self) -> dict[messages.Key, Promise]:
+    def durable(self) -> dict[messages.PoolRegion, Promise]:
         """Return what must outlive this process; it counts as synced now."""
         self.changed = False
         return dict(self._promises)
 
-    def promised(self, key: messages.Key) -> int:
+    def promised(self, key: messages.PoolRegion) -> int:
         """Return the highest term promised."""
         return self._promises.get(key, _BLANK).term
 
-    def members(self, key: messages.Key) -> tuple[messages.Member, ...]:
+    def members(self, key: messages.PoolRegion) -> tuple[messages.Member, ...]:
         """Return the newest list of members accepted."""
         return self._promises.get(key, _BLANK).members
 
--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -13,7 +13,7 @@
 from hyssopfold.core.balancing import node
 from tests.support import fake_entries
 
-KEY = messages.Key("ledger", "dar")
+KEY = messages.PoolRegion("ledger", "dar")
 
 
 @given("placement of {entries:d} entries over {servers:d} servers")
--- a/tests/support/fake_entries.py
+++ b/tests/support/fake_entries.py
@@ -246,7 +246,7 @@
 
     def grantors(self):
         """Return the names of the live entries that grant."""
-        key = messages.Key("ledger", "dar")
+        key = messages.PoolRegion("ledger", "dar")
         return [
             name
             for name, entry in self.entries.items()
