--- a/bench/local_choice.py
+++ b/bench/local_choice.py
@@ -56,7 +56,7 @@
     began = time.process_time()
     data = b""
     for _ in range(rounds):
-        message = messages.Silent(keys)
+        message = messages.SilentServers(keys)
         data = datagram_wire.encode_message("entry-1", message)
         parcel = datagram_wire.decode(data)
         assert isinstance(parcel, datagram_wire.Parcel)
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -81,13 +81,13 @@
     slots: int
 
 
-class Busy(NamedTuple):
+class BusyServers(NamedTuple):
     """Servers, by their lives, that told so many requests in their answers."""
 
     loads: tuple[tuple[int, int], ...]
 
 
-class Silent(NamedTuple):
+class SilentServers(NamedTuple):
     """Message: servers at which the sender's requests wait in vain.
 
     Each by a number that stands for one life of it (see `sightings.life_key`).
@@ -268,8 +268,8 @@
     | SlotDenied
     | SlotRelease
     | SlotSync
-    | Silent
-    | Busy
+    | SilentServers
+    | BusyServers
 )
 
 
--- a/hyssopfold/core/balancing/node.py
+++ b/hyssopfold/core/balancing/node.py
@@ -543,7 +543,7 @@
 
 @_receive.register
 def _(
-    message: messages.Silent, node: Node, sender: str, now: float
+    message: messages.SilentServers, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
     # An entry that chooses by itself tells of servers; here grantors judge them.
     return []
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -153,7 +153,9 @@
                 if one.region == me.region and one.name != me.name
             ]
             told = self._rng.sample(near, min(MAX_TOLD, len(near)))
-            self._spread.post_all(told, messages.Silent(silent[:MAX_NAMED]))
+            self._spread.post_all(
+                told, messages.SilentServers(silent[:MAX_NAMED])
+            )
 
     async def _tell_busy(self) -> None:
         """Tell a few near entries of servers at which requests wait."""
@@ -162,15 +164,15 @@
             await trio.sleep(BUSY_BATCH_S)
             self._is_busy = trio.Event()
             loads = self._chooser.take_busy()[:MAX_NAMED]
-            self._spread.post_all(self._neighbours, messages.Busy(loads))
+            self._spread.post_all(self._neighbours, messages.BusyServers(loads))
 
     async def _hear(self) -> None:
         parcel: datagram_wire.Parcel
         async for parcel in self._spread.parcels:
             match parcel.message:
-                case messages.Silent(keys):
+                case messages.SilentServers(keys):
                     self._hear_silent(parcel.sender, keys)
-                case messages.Busy(loads):
+                case messages.BusyServers(loads):
                     self._chooser.hear_loads(loads, trio.current_time())
                 case _:
                     # Sent by an entry with another way of placing requests.
--- a/hyssopfold/transport/datagram_wire.py
+++ b/hyssopfold/transport/datagram_wire.py
@@ -31,8 +31,8 @@
     7: placement.SlotDenied,
     8: placement.SlotRelease,
     9: placement.SlotSync,
-    10: placement.Silent,
-    11: placement.Busy,
+    10: placement.SilentServers,
+    11: placement.BusyServers,
     12: quarantine.Told,
 }
 _NUMBERS = {kind: number for number, kind in _KINDS.items()}
