--- a/bench/capacity/placement.py
+++ b/bench/capacity/placement.py
@@ -90,7 +90,7 @@
 
     def release(self, now: float) -> None:
         """Give the oldest slot back."""
-        done = messages.Done("answered", 0.05)
+        done = messages.AttemptResult("answered", 0.05)
         grant = self.grants.pop(0)
         for effect in self.holder.release(grant, done, now):
             assert isinstance(effect, messages.Send)
--- a/bench/emulator/world.py
+++ b/bench/emulator/world.py
@@ -334,7 +334,7 @@
             return
         self._waited_for.remove(call.number)
         took = self.now - call.born
-        done = messages.Done("failed", took, True, False)
+        done = messages.AttemptResult("failed", took, True, False)
         entry.done(server.word.server_id, done, 3.0, self.now)
         self._count(call, "failed", 0.0)
 
@@ -359,7 +359,7 @@
         elif len(server.waiting) < 3 * slots:
             server.waiting.append((call, entry, sent))
         else:
-            done = messages.Done("shed", 0.0, True, False, server.load)
+            done = messages.AttemptResult("shed", 0.0, True, False, server.load)
             way = self._way(call.region, server)
             self.at(
                 self.now + way, self._shed, call, entry, server, done, tried
@@ -371,7 +371,7 @@
         if call.number not in self._waited_for:
             return
         self._waited_for.remove(call.number)
-        done = messages.Done("failed", 0.0, False, False)
+        done = messages.AttemptResult("failed", 0.0, False, False)
         entry.done(server.word.server_id, done, 3.0, self.now)
         # Nothing was sent: two more may be asked (see core/attempts).
         if len(tried) + 1 >= ATTEMPTS + 2:
@@ -381,7 +381,7 @@
 
     def _shed(
         self, call: Call, entry: Any, server: Server,
-        done: messages.Done, tried: tuple[str, ...],
+        done: messages.AttemptResult, tried: tuple[str, ...],
     ) -> None:  # fmt: skip
         if call.number not in self._waited_for:
             return
@@ -417,7 +417,9 @@
         if call.number not in self._waited_for:
             return
         self._waited_for.remove(call.number)
-        done = messages.Done("answered", self.now - sent, True, True, load)
+        done = messages.AttemptResult(
+            "answered", self.now - sent, True, True, load
+        )
         entry.learn(self.grants[call.number], done, self.now)
         entry.done(server.word.server_id, done, 3.0, self.now)
         kind = call.kind
--- a/bench/local_choice.py
+++ b/bench/local_choice.py
@@ -36,7 +36,9 @@
         )  # fmt: skip
         grant = chooser.choose(req, view)
         assert isinstance(grant, messages.Grant)
-        done = messages.Done("answered", 0.1, load=messages.Load(1, 0, 3))
+        done = messages.AttemptResult(
+            "answered", 0.1, load=messages.Load(1, 0, 3)
+        )
         chooser.done(grant.server.server_id, done, 3.0, number / 100)
 
     for number in range(_OBJECTS):
--- a/hyssopfold/core/balancing/health.py
+++ b/hyssopfold/core/balancing/health.py
@@ -77,7 +77,9 @@
             held = held._replace(warm_from=now)
         self._records[server_id] = held._replace(last_used=now)
 
-    def done(self, server_id: str, done: messages.Done, now: float) -> None:
+    def done(
+        self, server_id: str, done: messages.AttemptResult, now: float
+    ) -> None:
         """Take in how a request ended."""
         held = self._records.get(server_id)
         if held is None:
--- a/hyssopfold/core/balancing/holder.py
+++ b/hyssopfold/core/balancing/holder.py
@@ -238,7 +238,7 @@
     def _give_back(
         self, to: str, key: messages.PoolRegion, number: int
     ) -> messages.Effect:
-        done = messages.Done("cancelled", 0.0)
+        done = messages.AttemptResult("cancelled", 0.0)
         release = messages.SlotRelease(key, self._me, number, done)
         return messages.Send(to, release)
 
@@ -261,7 +261,7 @@
         )
 
     def release(
-        self, grant: messages.Grant, done: messages.Done, now: float
+        self, grant: messages.Grant, done: messages.AttemptResult, now: float
     ) -> list[messages.Effect]:
         """Give a slot back."""
         key = grant.key
--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -310,7 +310,7 @@
         return max(seen.requests(now), told) / max(1, server.slots)
 
     def learn(
-        self, grant: messages.Grant, done: messages.Done, now: float
+        self, grant: messages.Grant, done: messages.AttemptResult, now: float
     ) -> None:
         """Take in what a grant's answer tells of run times and objects."""
         req, server = grant.asked, grant.server
@@ -331,7 +331,11 @@
         )
 
     def done(
-        self, server_id: str, done: messages.Done, warm_up_s: float, now: float
+        self,
+        server_id: str,
+        done: messages.AttemptResult,
+        warm_up_s: float,
+        now: float,
     ) -> None:
         """Take in how a request ended."""
         self._seen.done(server_id, done, warm_up_s, now)
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -96,7 +96,7 @@
     keys: tuple[int, ...]
 
 
-class Done(NamedTuple):
+class AttemptResult(NamedTuple):
     """How a grant ended, for the health of its server.
 
     `kind` is `answered`, `failed` (connect or protocol error, time-out),
@@ -241,7 +241,7 @@
     key: PoolRegion
     holder: Member
     number: int
-    done: Done
+    done: AttemptResult
 
 
 class SlotSync(NamedTuple):
@@ -287,11 +287,11 @@
     result: Grant | Refused
 
 
-class Decided(NamedTuple):
+class LogDecision(NamedTuple):
     """Effect: log a decision of placement."""
 
     event: str
     fields: tuple[tuple[str, object], ...]
 
 
-Effect = Send | Answer | Decided
+Effect = Send | Answer | LogDecision
--- a/hyssopfold/core/balancing/node.py
+++ b/hyssopfold/core/balancing/node.py
@@ -50,7 +50,7 @@
     """Event: an attempt on a granted slot ended."""
 
     grant: messages.Grant
-    done: messages.Done
+    done: messages.AttemptResult
 
 
 class Received(NamedTuple):
@@ -273,7 +273,7 @@
             ("silent", len(won.silent)),
             ("alone", seat.election.alone),
         )
-        return [messages.Decided("grantor-elected", fields)]
+        return [messages.LogDecision("grantor-elected", fields)]
 
     def _free_ended(self, granting: grantor.Grantor) -> None:
         for one in granting.ledger.holders():
--- a/hyssopfold/core/balancing/sightings.py
+++ b/hyssopfold/core/balancing/sightings.py
@@ -100,7 +100,11 @@
         return seen
 
     def done(
-        self, server_id: str, done: messages.Done, warm_up_s: float, now: float
+        self,
+        server_id: str,
+        done: messages.AttemptResult,
+        warm_up_s: float,
+        now: float,
     ) -> None:
         """Take in how a request ended."""
         seen = self._held.get(server_id)
@@ -166,7 +170,7 @@
 
 
 def _judged(
-    seen: Sighting, done: messages.Done, warm_up_s: float, now: float
+    seen: Sighting, done: messages.AttemptResult, warm_up_s: float, now: float
 ) -> Sighting:
     if done.elsewhere:
         return seen._replace(resting_until=now + ELSEWHERE_REST_S)
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -150,7 +150,7 @@
             return events.NoSlot(answer.reason, answer.retry_after_s)
         if self._is_held(effect):
             # Since it began to wait for a slot.
-            unused = messages.Done("cancelled", 0.0, reached=False)
+            unused = messages.AttemptResult("cancelled", 0.0, reached=False)
             parts.placement.release(answer, unused)
             return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
         if not effect.tried:
@@ -319,15 +319,15 @@
 
     def _done(
         self, kind: str, answering: upstream.Answering | None
-    ) -> messages.Done:
+    ) -> messages.AttemptResult:
         took = trio.current_time() - self._granted_at
         if answering is None:
             reached = self._machine.last_sent is not events.Sent.NOT_SENT
-            return messages.Done(kind, took, reached, False)
+            return messages.AttemptResult(kind, took, reached, False)
         answer = answering.answer
         headers = {key.lower(): value for key, value in answer.headers}
         good = kind == "answered" and answer.status < SERVER_FAILURE
-        return messages.Done(
+        return messages.AttemptResult(
             kind,
             took,
             True,
@@ -382,7 +382,7 @@
     def _log_attempt(
         self,
         grant: messages.Grant,
-        done: messages.Done,
+        done: messages.AttemptResult,
         answering: upstream.Answering | None,
     ) -> None:
         status = answering.answer.status if answering is not None else 0
--- a/hyssopfold/entry/carrier_parts.py
+++ b/hyssopfold/entry/carrier_parts.py
@@ -25,7 +25,9 @@
     ) -> messages.Grant | messages.Refused:
         """Return a slot, or why there is none."""
 
-    def release(self, grant: messages.Grant, done: messages.Done) -> None:
+    def release(
+        self, grant: messages.Grant, done: messages.AttemptResult
+    ) -> None:
         """Give a slot back, with how the attempt ended."""
 
     def in_flight(self) -> dict[str, int]:
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -105,7 +105,9 @@
         ]
         return load_reports.neighbours(me.name, near, TOLD_EACH_SIDE)
 
-    def release(self, grant: messages.Grant, done: messages.Done) -> None:
+    def release(
+        self, grant: messages.Grant, done: messages.AttemptResult
+    ) -> None:
         """Take in how an attempt ended."""
         warm_up_s = self._warm_up_s.get(grant.server.pool, 0.0)
         now = trio.current_time()
--- a/hyssopfold/entry/placement.py
+++ b/hyssopfold/entry/placement.py
@@ -71,9 +71,11 @@
         except trio.WouldBlock:
             return
         if isinstance(answer, messages.Grant):
-            self.release(answer, messages.Done("cancelled", 0.0))
+            self.release(answer, messages.AttemptResult("cancelled", 0.0))
 
-    def release(self, grant: messages.Grant, done: messages.Done) -> None:
+    def release(
+        self, grant: messages.Grant, done: messages.AttemptResult
+    ) -> None:
         """Give a slot back, with how the attempt ended."""
         self._handle(node.Release(grant, done))
 
@@ -119,7 +121,7 @@
         if waiting is not None:
             waiting.send_nowait(result)
         elif isinstance(result, messages.Grant):
-            self.release(result, messages.Done("cancelled", 0.0))
+            self.release(result, messages.AttemptResult("cancelled", 0.0))
 
 
 @functools.singledispatch
@@ -139,5 +141,5 @@
 
 
 @_carry.register
-def _(effect: messages.Decided, placement: Placement) -> None:
+def _(effect: messages.LogDecision, placement: Placement) -> None:
     logger.info(logs.Event(effect.event, **dict(effect.fields)))
--- a/tests/steps/core/balancing/health_steps.py
+++ b/tests/steps/core/balancing/health_steps.py
@@ -28,7 +28,7 @@
 
 def _done(context, name, kind, seconds=0.05, times=1):
     for _ in range(times):
-        done = messages.Done(kind, seconds)
+        done = messages.AttemptResult(kind, seconds)
         context.health.done(name, done, context.now)
 
 
--- a/tests/steps/core/balancing/load_reports_steps.py
+++ b/tests/steps/core/balancing/load_reports_steps.py
@@ -54,7 +54,7 @@
     for name in names:
         others = tuple(other for other in names if other != name)
         grant = _choose(context, _request("any", others))
-        done = messages.Done("answered", 0.3)
+        done = messages.AttemptResult("answered", 0.3)
         context.chooser.done(grant.server.server_id, done, 3.0, context.now)
 
 
@@ -92,7 +92,7 @@
     grant = _choose(context, _request(key, order[1:]))
     slots = grant.server.slots
     load = messages.Load(min(requests, slots), max(0, requests - slots), slots)
-    done = messages.Done("answered", 0.3, load=load)
+    done = messages.AttemptResult("answered", 0.3, load=load)
     context.chooser.done(order[0], done, 3.0, context.now)
 
 
--- a/tests/steps/core/balancing/local_steps.py
+++ b/tests/steps/core/balancing/local_steps.py
@@ -84,7 +84,7 @@
 @given('the first server of "{key}" told a load of {load:d} running or waiting')
 def _(context, key, load):
     told = messages.Load(3, load - 3, 3)
-    done = messages.Done("answered", 0.1, load=told)
+    done = messages.AttemptResult("answered", 0.1, load=told)
     _take_from_first(context, key, done)
 
 
@@ -96,14 +96,14 @@
         others = tuple(one for one in order if one != name)
         req = _request(key)._replace(avoid=others)
         grant = chooser.choose(req, _view(context))
-        done = messages.Done("answered", 0.1)
+        done = messages.AttemptResult("answered", 0.1)
         chooser.learn(grant, done, now)
         chooser.done(grant.server.server_id, done, 3.0, now)
 
 
 @given('the first server of "{key}" took no connection')
 def _(context, key):
-    done = messages.Done("failed", 0.1, reached=False, good=False)
+    done = messages.AttemptResult("failed", 0.1, reached=False, good=False)
     _take_from_first(context, key, done)
 
 
@@ -141,7 +141,7 @@
         req = _request(f"object {number % keys}", regions)
         grant = context.local_chooser.choose(req, _view(context))
         context.local_answers.append(grant)
-        done = messages.Done("answered", 0.1)
+        done = messages.AttemptResult("answered", 0.1)
         server_id = grant.server.server_id
         context.local_chooser.done(server_id, done, 3.0, context.local_now)
 
@@ -203,7 +203,7 @@
         grant = chooser.choose(_request(key), _view(context))
         server_id = grant.server.server_id
         got += server_id == _order(context, key)[0]
-        done = messages.Done("answered", 0.01)
+        done = messages.AttemptResult("answered", 0.01)
         chooser.done(server_id, done, 3.0, context.local_now)
     assert 1 <= got <= most, got
 
@@ -240,7 +240,7 @@
                 answer = chooser.choose(_request("book"), view)
                 if isinstance(answer, messages.Grant):
                     context.local_sent.append(context.local_now)
-                    done = messages.Done("answered", 0.0)
+                    done = messages.AttemptResult("answered", 0.0)
                     chooser.done("s1", done, 3.0, context.local_now)
 
 
@@ -320,14 +320,14 @@
 
 @when('the request held at the first server of "{key}" ends unanswered')
 def _(context, key):
-    done = messages.Done("failed", 1.0, good=False)
+    done = messages.AttemptResult("failed", 1.0, good=False)
     first = _order(context, key)[0]
     context.local_chooser.done(first, done, 3.0, context.local_now)
 
 
 @given('at the address of the first server of "{key}" another one answered')
 def _(context, key):
-    done = messages.Done("shed", 0.1, good=False, elsewhere=True)
+    done = messages.AttemptResult("shed", 0.1, good=False, elsewhere=True)
     _take_from_first(context, key, done)
 
 
@@ -341,7 +341,7 @@
 def _meet_first(context, key):
     """Let this entry know the server, as one that has used it does."""
     grant = context.local_chooser.choose(_request(key), _view(context))
-    done = messages.Done("answered", 0.1)
+    done = messages.AttemptResult("answered", 0.1)
     server_id = grant.server.server_id
     context.local_chooser.done(server_id, done, 3.0, context.local_now)
 
--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -218,7 +218,7 @@
 def _(context):
     entry, now = context.entry, context.world.now
     grant = entry.grants[context.ticket]
-    done = messages.Done("answered", 0.05)
+    done = messages.AttemptResult("answered", 0.05)
     assert entry.node.handle(node.Release(grant, done), now) == []
     newer = messages.Member("e9", 99)
     beat = messages.GrantorHeartbeat(KEY, context.term, newer, False)
--- a/tests/steps/core/balancing/soonest_steps.py
+++ b/tests/steps/core/balancing/soonest_steps.py
@@ -54,7 +54,7 @@
     """Let a request be sent and answered after a time."""
     chooser = context.soonest_chooser
     grant = chooser.choose(req, _view(context))
-    done = messages.Done("answered", took_s, load=load)
+    done = messages.AttemptResult("answered", took_s, load=load)
     chooser.learn(grant, done, _NOW)
     chooser.done(grant.server.server_id, done, 3.0, _NOW)
 
@@ -178,7 +178,7 @@
         req = _request("booking", f"o{number % 40}", 1.0)
         context.soonest_chooser.learn(
             messages.Grant(context.soonest_servers[0], "test", asked=req),
-            messages.Done("answered", took_s, load=load),
+            messages.AttemptResult("answered", took_s, load=load),
             _NOW,
         )
 
--- a/tests/support/fake_entries.py
+++ b/tests/support/fake_entries.py
@@ -134,7 +134,7 @@
     def release(self, name, ticket, kind="answered", seconds=0.05):
         """End the attempt of a granted ticket."""
         grant = self.entries[name].grants.pop(ticket)
-        done = messages.Done(kind, seconds)
+        done = messages.AttemptResult(kind, seconds)
         self.submit(name, node.Release(grant, done))
 
     def submit(self, name, event):
@@ -154,7 +154,7 @@
                 entry.answers[effect.number] = effect.result
                 if isinstance(effect.result, messages.Grant):
                     entry.grants[effect.number] = effect.result
-            case messages.Decided():
+            case messages.LogDecision():
                 self.decided.append((self.now, name, effect))
 
     def _send(self, sender, to, message):
--- a/tests/support/local_entries.py
+++ b/tests/support/local_entries.py
@@ -114,4 +114,6 @@
     def _end_requests(self):
         while self._running and self._running[0][0] <= trio.current_time():
             _, entry, grant = self._running.popleft()
-            entry.place.release(grant, messages.Done("answered", _RUN_S))
+            entry.place.release(
+                grant, messages.AttemptResult("answered", _RUN_S)
+            )
