--- a/hyssopfold/core/balancing/health.py
+++ b/hyssopfold/core/balancing/health.py
@@ -89,7 +89,7 @@
         elif done.kind == "shed":
             held = _shed(held, now)
         elif done.kind == "answered":
-            held = _answered(held, done.seconds, now)
+            held = _answered(held, done.duration_s, now)
         self._records[server_id] = held
 
     def _failed(self, held: _Record, now: float) -> _Record:
--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -314,7 +314,7 @@
     ) -> None:
         """Take in what a grant's answer tells of run times and objects."""
         req, server = grant.asked, grant.server
-        if req is None or done.kind != "answered" or not done.good:
+        if req is None or done.kind != "answered" or not done.healthy:
             return
         life = (server.server_id, server.incarnation)
         if req.object_key:
@@ -326,7 +326,7 @@
         kind = estimates.Kind(req.route, server.region)
         self._estimates.observe(
             estimates.Answer(
-                kind, req.pool, req.goal_s, done.seconds, was_known, waits
+                kind, req.pool, req.goal_s, done.duration_s, was_known, waits
             )
         )
 
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -100,18 +100,18 @@
     """How a grant ended, for the health of its server.
 
     `kind` is `answered`, `failed` (connect or protocol error, time-out),
-    `shed` (the server refused) or `cancelled` (the caller left). `reached`
-    tells whether the server took a connection, `good` whether what it
-    answered is no failure of its own, `load` what it told beside. `elsewhere`
+    `shed` (the server refused) or `cancelled` (the caller left). `connected`
+    tells whether the server took a connection, `healthy` whether what it
+    answered is no failure of its own, `load` what it told beside. `address_reassigned`
     tells that another server has its address.
     """
 
     kind: str
-    seconds: float
-    reached: bool = True
-    good: bool = True
+    duration_s: float
+    connected: bool = True
+    healthy: bool = True
     load: Load | None = None
-    elsewhere: bool = False
+    address_reassigned: bool = False
 
 
 class PoolRegion(NamedTuple):
--- a/hyssopfold/core/balancing/sightings.py
+++ b/hyssopfold/core/balancing/sightings.py
@@ -172,20 +172,20 @@
 def _judged(
     seen: Sighting, done: messages.AttemptResult, warm_up_s: float, now: float
 ) -> Sighting:
-    if done.elsewhere:
+    if done.address_reassigned:
         return seen._replace(resting_until=now + ELSEWHERE_REST_S)
     if done.kind == "shed":
         return seen._replace(resting_until=now + SHED_REST_S)
-    if done.good:
+    if done.healthy:
         return seen._replace(failures=0, rests=max(0, seen.rests - 1))
     failures = seen.failures + 1
-    if done.reached and failures < FAILURES:
+    if done.connected and failures < FAILURES:
         return seen._replace(failures=failures)
     rest_s = min(MAX_REST_S, FIRST_REST_S * 2.0**seen.rests)
     until = now + rest_s
     # One that takes no connection has ended; it comes back cold, and its own
     # word of that may come later than its first request.
-    cold_until = until + warm_up_s if not done.reached else seen.cold_until
+    cold_until = until + warm_up_s if not done.connected else seen.cold_until
     return seen._replace(
         failures=0,
         rests=seen.rests + 1,
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -150,7 +150,7 @@
             return events.NoSlot(answer.reason, answer.retry_after_s)
         if self._is_held(effect):
             # Since it began to wait for a slot.
-            unused = messages.AttemptResult("cancelled", 0.0, reached=False)
+            unused = messages.AttemptResult("cancelled", 0.0, connected=False)
             parts.placement.release(answer, unused)
             return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
         if not effect.tried:
@@ -294,7 +294,7 @@
         answering, self._answering = self._answering, None
         done = self._done(kind, answering)
         self._parts.placement.release(grant, done)
-        if done.good:
+        if done.healthy:
             self._parts.quarantine.answered(self._exchange.fingerprint)
         self._log_attempt(grant, done, answering)
         if kind == "failed":
@@ -387,7 +387,7 @@
     ) -> None:
         status = answering.answer.status if answering is not None else 0
         self._parts.meter.attempts.observe(
-            {"pool": self._pool.name, "result": done.kind}, done.seconds
+            {"pool": self._pool.name, "result": done.kind}, done.duration_s
         )
         self._exchange.log.add(
             logger,
@@ -396,6 +396,6 @@
             result=done.kind,
             status=status,
             sent=self._machine.last_sent.value,
-            detail="" if done.good else self._machine.last_reason,
-            took_s=round(done.seconds, 4),
+            detail="" if done.healthy else self._machine.last_reason,
+            took_s=round(done.duration_s, 4),
         )
--- a/tests/steps/core/balancing/local_steps.py
+++ b/tests/steps/core/balancing/local_steps.py
@@ -103,7 +103,7 @@
 
 @given('the first server of "{key}" took no connection')
 def _(context, key):
-    done = messages.AttemptResult("failed", 0.1, reached=False, good=False)
+    done = messages.AttemptResult("failed", 0.1, connected=False, healthy=False)
     _take_from_first(context, key, done)
 
 
@@ -320,14 +320,16 @@
 
 @when('the request held at the first server of "{key}" ends unanswered')
 def _(context, key):
-    done = messages.AttemptResult("failed", 1.0, good=False)
+    done = messages.AttemptResult("failed", 1.0, healthy=False)
     first = _order(context, key)[0]
     context.local_chooser.done(first, done, 3.0, context.local_now)
 
 
 @given('at the address of the first server of "{key}" another one answered')
 def _(context, key):
-    done = messages.AttemptResult("shed", 0.1, good=False, elsewhere=True)
+    done = messages.AttemptResult(
+        "shed", 0.1, healthy=False, address_reassigned=True
+    )
     _take_from_first(context, key, done)
 
 
