--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -130,10 +130,10 @@
         return messages.Grant(
             server,
             found.reason,
-            known_load=load,
+            estimated_load=load,
             load_age_s=age_s,
             expected_s=found.expected_s,
-            asked=req,
+            req=req,
             is_cold=is_cold,
         )
 
@@ -313,7 +313,7 @@
         self, grant: messages.Grant, done: messages.AttemptResult, now: float
     ) -> None:
         """Take in what a grant's answer tells of run times and objects."""
-        req, server = grant.asked, grant.server
+        req, server = grant.req, grant.server
         if req is None or done.kind != "answered" or not done.healthy:
             return
         life = (server.server_id, server.incarnation)
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -47,10 +47,10 @@
 class Grant(NamedTuple):
     """A slot of a server, held until it is released.
 
-    `key` and `number` name the slot between holder and grantor. `known_load`
+    `key` and `number` name the slot between holder and grantor. `estimated_load`
     is what the choice took the server's load for, as a multiple of its slots,
     and `load_age_s` the age of the server's own word of it in seconds.
-    `expected_s` is the time until the answer that it was made for, and `asked`
+    `expected_s` is the time until the answer that it was made for, and `req`
     the request that it answers, where the choice learns from its end. `is_cold`
     tells that the server was taken for cold.
     """
@@ -59,10 +59,10 @@
     reason: str
     key: "PoolRegion | None" = None
     number: int = 0
-    known_load: float = 0.0
+    estimated_load: float = 0.0
     load_age_s: float = NEVER_S
     expected_s: float = 0.0
-    asked: Request | None = None
+    req: Request | None = None
     is_cold: bool = False
 
 
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -369,7 +369,7 @@
             server=server.server_id,
             region=server.region,
             reason=grant.reason,
-            load=round(grant.known_load, 2),
+            load=round(grant.estimated_load, 2),
             load_age_s=answers.shown_age(grant.load_age_s),
             expected_s=round(grant.expected_s, 4),
             lease_left_s=round(lease_s, 3),
--- a/tests/steps/core/balancing/soonest_steps.py
+++ b/tests/steps/core/balancing/soonest_steps.py
@@ -177,7 +177,7 @@
     for number in range(count):
         req = _request("booking", f"o{number % 40}", 1.0)
         context.soonest_chooser.learn(
-            messages.Grant(context.soonest_servers[0], "test", asked=req),
+            messages.Grant(context.soonest_servers[0], "test", req=req),
             messages.AttemptResult("answered", took_s, load=load),
             _NOW,
         )
