--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -281,9 +281,9 @@
 
 
 class Answer(NamedTuple):
-    """Effect: answer the request that waits for the ask `number`."""
+    """Effect: answer the request that waits for `ticket`."""
 
-    number: int
+    ticket: int
     result: Grant | Refused
 
 
--- a/hyssopfold/entry/placement.py
+++ b/hyssopfold/entry/placement.py
@@ -137,7 +137,7 @@
 
 @_carry.register
 def _(effect: messages.Answer, placement: Placement) -> None:
-    placement.answer(effect.number, effect.result)
+    placement.answer(effect.ticket, effect.result)
 
 
 @_carry.register
--- a/tests/support/fake_entries.py
+++ b/tests/support/fake_entries.py
@@ -151,9 +151,9 @@
             case messages.Send():
                 self._send(name, effect.to, effect.message)
             case messages.Answer():
-                entry.answers[effect.number] = effect.result
+                entry.answers[effect.ticket] = effect.result
                 if isinstance(effect.result, messages.Grant):
-                    entry.grants[effect.number] = effect.result
+                    entry.grants[effect.ticket] = effect.result
             case messages.LogDecision():
                 self.decided.append((self.now, name, effect))
 
