--- a/hyssopfold/control/slot_votes.py
+++ b/hyssopfold/control/slot_votes.py
@@ -12,10 +12,10 @@
 
 RECORD = "slot-votes"
 
-_Record = list[tuple[messages.PoolRegion, voter.Promise]]
+_Record = list[tuple[messages.PoolRegion, voter.VoteState]]
 
 
-def load(data: folder.DataFolder) -> dict[messages.PoolRegion, voter.Promise]:
+def load(data: folder.DataFolder) -> dict[messages.PoolRegion, voter.VoteState]:
     """Return the promises that the data folder holds.
 
     Raises:
--- a/hyssopfold/core/balancing/election.py
+++ b/hyssopfold/core/balancing/election.py
@@ -91,8 +91,8 @@
         self._confirmed: dict[str, int] = {}
         self._proposal: Members | None = None
         self._rounds_alone = 0
-        self._given_term = 0
-        self._alone_term = 0
+        self._control_term = 0
+        self._standalone_term = 0
 
     @property
     def idle(self) -> bool:
@@ -109,21 +109,21 @@
         return member in self._established
 
     def campaign(
-        self, known_term: int, given_term: int, now: float
+        self, known_term: int, control_term: int, now: float
     ) -> list[messages.Effect]:
         """Begin to claim the next term.
 
         Args:
             known_term: Highest term heard of.
-            given_term: Highest term heard of that control had given.
+            control_term: Highest term heard of that control had given.
             now: Monotonic seconds.
         """
         self.term = max(self.term, known_term, self._highest) + 1
-        self._given_term = given_term
+        self._control_term = control_term
         self._phase = _Phase.PREPARE
         self._seen, self._listed, self._version = (0, 0), (), 0
         self._last, self._last_own_limit = None, 0
-        self._alone_term, self._proposed_own_limit = 0, 0
+        self._standalone_term, self._proposed_own_limit = 0, 0
         self._established, self._confirmed = (), {}
         self._reports, self._proposal, self.alone = {}, None, False
         self._asked = set()
@@ -194,7 +194,7 @@
         heard = self._by_control()
         if self.alone and heard:
             # Control is there again: a proper term tells who may hold slots.
-            return self.campaign(self.term, self._given_term, now)
+            return self.campaign(self.term, self._control_term, now)
         settled = (self.members, self.own_limit) == (
             self._established,
             self._established_own_limit,
@@ -218,9 +218,9 @@
         mine = vote.term == self.term and vote.candidate == self._me
         if self.idle or not mine:
             return [], None
-        self._given_term = max(self._given_term, vote.given_term)
-        self._alone_term = max(self._alone_term, vote.alone_term)
-        if vote.granted and vote.holds is not None:
+        self._control_term = max(self._control_term, vote.control_term)
+        self._standalone_term = max(self._standalone_term, vote.standalone_term)
+        if vote.granted and vote.held_slots is not None:
             self._reports[vote.voter.name] = vote
         if vote.round != self._round:
             return [], None
@@ -271,10 +271,13 @@
     def _take_promise(
         self, vote: messages.Vote, nearby: Collection[str], now: float
     ) -> tuple[list[messages.Effect], Won | None]:
-        seen = (vote.seen_term, vote.seen_version)
+        seen = (vote.accepted_term, vote.accepted_version)
         if seen > self._seen:
-            self._seen, self._listed = seen, vote.seen_members
-            self._last, self._last_own_limit = vote.seen_by, vote.seen_own_limit
+            self._seen, self._listed = seen, vote.accepted_members
+            self._last, self._last_own_limit = (
+                vote.accepted_candidate,
+                vote.accepted_own_limit,
+            )
         if self._phase is _Phase.PREPARE:
             if not self._by_control():
                 return [], None
@@ -327,27 +330,27 @@
 
     def _own_use(self) -> int:
         mine = self._reports.get(self._me.name)
-        holds = mine.holds if mine is not None and mine.holds else ()
+        holds = mine.held_slots if mine is not None and mine.held_slots else ()
         used = Counter(hold.server_id for hold in holds)
         return max(used.values(), default=0)
 
     def _win(self) -> Won:
         self._phase = _Phase.LEAD
         reports = {
-            vote.voter: vote.holds or () for vote in self._reports.values()
+            vote.voter: vote.held_slots or () for vote in self._reports.values()
         }
         silent = {one for one in self.members if one not in reports}
         # An entry that did not answer may hold slots of a term that control
         # knows nothing of.
         known = {one.name for one in (*reports, *silent)}
         silent |= {messages.Member(name, 0) for name in self._asked - known}
-        if self.alone or self._seen[0] < self._given_term:
+        if self.alone or self._seen[0] < self._control_term:
             # Control is cut off, or has lost the list in a restart of all
             # its instances: members that are not known of may hold slots.
             silent.add(UNKNOWN)
         # A grantor without control came after: under it, the last one that
         # control knows of was a holder, without a limit.
-        last = self._last if self._alone_term <= self._seen[0] else None
+        last = self._last if self._standalone_term <= self._seen[0] else None
         return Won(
             self.term, reports, frozenset(silent), last, self._last_own_limit
         )
--- a/hyssopfold/core/balancing/grantor.py
+++ b/hyssopfold/core/balancing/grantor.py
@@ -202,7 +202,7 @@
         if hold is None:
             self._withdraw(release.holder, release.number)
             return []
-        self._health.done(hold.server_id, release.done, now)
+        self._health.done(hold.server_id, release.result, now)
         self._queue.freed(now)
         return self.serve(now)
 
@@ -216,9 +216,11 @@
     ) -> list[messages.Effect]:
         """Free what a holder no longer uses: its releases were lost."""
         self._heard[sync.holder] = now
-        kept = {hold.number for hold in sync.holds}.union(sync.open_asks)
+        kept = {hold.number for hold in sync.held_slots}.union(
+            sync.pending_numbers
+        )
         for number in self.ledger.numbers(sync.holder):
-            if number <= sync.high and number not in kept:
+            if number <= sync.highest_number and number not in kept:
                 self.ledger.release(sync.holder, number)
         return self.serve(now)
 
--- a/hyssopfold/core/balancing/holder.py
+++ b/hyssopfold/core/balancing/holder.py
@@ -154,11 +154,11 @@
         heard = leader.beat.term if leader is not None else 0
         return max(self._promised.get(key, 0), heard)
 
-    def given_term(self, key: messages.PoolRegion) -> int:
+    def control_term(self, key: messages.PoolRegion) -> int:
         """Return the highest term heard of that control had given."""
         return self._given.get(key, 0)
 
-    def alone_term(self, key: messages.PoolRegion) -> int:
+    def standalone_term(self, key: messages.PoolRegion) -> int:
         """Return the highest term heard of that had no control behind it."""
         return self._alone.get(key, 0)
 
@@ -184,7 +184,7 @@
             return []
         leader = _Leader(beat, now)
         self._leaders[key] = leader
-        terms = self._alone if beat.alone else self._given
+        terms = self._alone if beat.standalone else self._given
         terms[key] = beat.term
         held = self._holds.get(key, {})
         asks = tuple(
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -93,7 +93,7 @@
     Each by a number that stands for one life of it (see `sightings.life_key`).
     """
 
-    keys: tuple[int, ...]
+    incarnation_keys: tuple[int, ...]
 
 
 class AttemptResult(NamedTuple):
@@ -158,9 +158,9 @@
 class Vote(NamedTuple):
     """A voter's answer, with the newest list of members that it accepted.
 
-    `holds` lists the slots that the voter uses, when it is an entry that
-    promised not to use older grants; None when it did not. `given_term` is
-    the highest term that it heard of and that control had given, `alone_term`
+    `held_slots` lists the slots that the voter uses, when it is an entry that
+    promised not to use older grants; None when it did not. `control_term` is
+    the highest term that it heard of and that control had given, `standalone_term`
     the highest of a grantor without control.
     """
 
@@ -171,14 +171,14 @@
     round: int
     granted: bool
     promised: int
-    seen_term: int
-    seen_version: int
-    seen_members: tuple[Member, ...]
-    seen_by: Member | None
-    seen_own_limit: int
-    given_term: int
-    alone_term: int
-    holds: tuple[HeldSlot, ...] | None
+    accepted_term: int
+    accepted_version: int
+    accepted_members: tuple[Member, ...]
+    accepted_candidate: Member | None
+    accepted_own_limit: int
+    control_term: int
+    standalone_term: int
+    held_slots: tuple[HeldSlot, ...] | None
 
 
 class Resign(NamedTuple):
@@ -192,13 +192,13 @@
 class GrantorHeartbeat(NamedTuple):
     """The grantor tells that it is there, to entries that may ask it.
 
-    `alone` says that control has not given it the term.
+    `standalone` says that control has not given it the term.
     """
 
     key: PoolRegion
     term: int
     grantor: Member
-    alone: bool
+    standalone: bool
 
 
 class SlotRequest(NamedTuple):
@@ -241,21 +241,21 @@
     key: PoolRegion
     holder: Member
     number: int
-    done: AttemptResult
+    result: AttemptResult
 
 
 class SlotSync(NamedTuple):
-    """All slots that a holder uses, among its asks up to number `high`.
+    """All slots that a holder uses, among its asks up to number `highest_number`.
 
     What the grantor counts beyond these was released, and the release lost;
-    asks up to `high` that come later are late and must be ignored.
+    asks up to `highest_number` that come later are late and must be ignored.
     """
 
     key: PoolRegion
     holder: Member
-    high: int
-    holds: tuple[HeldSlot, ...]
-    open_asks: tuple[int, ...]
+    highest_number: int
+    held_slots: tuple[HeldSlot, ...]
+    pending_numbers: tuple[int, ...]
 
 
 Message = (
--- a/hyssopfold/core/balancing/node.py
+++ b/hyssopfold/core/balancing/node.py
@@ -254,7 +254,7 @@
             return []
         holding = self.holder
         return seat.election.campaign(
-            holding.term(key), holding.given_term(key), now
+            holding.term(key), holding.control_term(key), now
         )
 
     def _begin(
@@ -338,10 +338,10 @@
         vote = self.voter.vote(claim, now)
         if vote.granted:
             holds = self.holder.promise(claim.key, claim.term)
-            given = self.holder.given_term(claim.key)
-            alone = self.holder.alone_term(claim.key)
+            given = self.holder.control_term(claim.key)
+            alone = self.holder.standalone_term(claim.key)
             vote = vote._replace(
-                holds=holds, given_term=given, alone_term=alone
+                held_slots=holds, control_term=given, standalone_term=alone
             )
         seat = self._seats.get(claim.key)
         if seat is not None:
@@ -369,8 +369,8 @@
         granting = self.granting(vote.key)
         mine = vote.candidate == self._cfg.me
         current = mine and vote.granted and vote.term == seat.election.term
-        if granting is not None and current and vote.holds is not None:
-            granting.ledger.report(vote.voter, vote.holds)
+        if granting is not None and current and vote.held_slots is not None:
+            granting.ledger.report(vote.voter, vote.held_slots)
             effects += granting.serve(now)
         return effects
 
--- a/hyssopfold/core/balancing/voter.py
+++ b/hyssopfold/core/balancing/voter.py
@@ -8,7 +8,7 @@
 LEASE_S = 1.0
 
 
-class Promise(NamedTuple):
+class VoteState(NamedTuple):
     """What was promised for a key, and the last list that was accepted.
 
     `until` is monotonic time of one process; all else outlives it on disk.
@@ -17,14 +17,14 @@
     term: int
     candidate: messages.Member | None
     until: float
-    seen_term: int
-    seen_version: int
+    accepted_term: int
+    accepted_version: int
     members: tuple[messages.Member, ...]
-    seen_by: messages.Member | None = None
+    accepted_candidate: messages.Member | None = None
     own_limit: int = 0
 
 
-_BLANK = Promise(0, None, 0.0, 0, 0, ())
+_BLANK = VoteState(0, None, 0.0, 0, 0, ())
 
 
 class Voter:
@@ -49,7 +49,7 @@
         me: messages.Member,
         started: float,
         lease_s: float = LEASE_S,
-        promises: Mapping[messages.PoolRegion, Promise] | None = None,
+        promises: Mapping[messages.PoolRegion, VoteState] | None = None,
     ) -> None:
         self._me = me
         self._lease_s = lease_s
@@ -60,7 +60,7 @@
         }
         self.changed = False
 
-    def durable(self) -> dict[messages.PoolRegion, Promise]:
+    def durable(self) -> dict[messages.PoolRegion, VoteState]:
         """Return what must outlive this process; it counts as synced now."""
         self.changed = False
         return dict(self._promises)
@@ -90,10 +90,10 @@
             claim.round,
             granted,
             held.term,
-            held.seen_term,
-            held.seen_version,
+            held.accepted_term,
+            held.accepted_version,
             held.members,
-            held.seen_by,
+            held.accepted_candidate,
             held.own_limit,
             0,
             0,
@@ -109,7 +109,7 @@
             self._promises[resign.key] = held._replace(until=now)
 
     def _may_grant(
-        self, claim: messages.Claim, held: Promise, now: float
+        self, claim: messages.Claim, held: VoteState, now: float
     ) -> bool:
         if now < self._votes_from or claim.term < held.term:
             return False
@@ -120,23 +120,26 @@
             # Two grantors at once would grant one slot twice.
             return False
         if claim.version and claim.members is None:
-            seen = (held.seen_term, held.seen_version)
+            seen = (held.accepted_term, held.accepted_version)
             return seen == (claim.term, claim.version)
         return True
 
 
-def _accept(claim: messages.Claim, held: Promise, until: float) -> Promise:
+def _accept(claim: messages.Claim, held: VoteState, until: float) -> VoteState:
     held = held._replace(
         term=claim.term, candidate=claim.candidate, until=until
     )
     if claim.members is None:
         return held
-    if (claim.term, claim.version) < (held.seen_term, held.seen_version):
+    if (claim.term, claim.version) < (
+        held.accepted_term,
+        held.accepted_version,
+    ):
         return held
     return held._replace(
-        seen_term=claim.term,
-        seen_version=claim.version,
+        accepted_term=claim.term,
+        accepted_version=claim.version,
         members=claim.members,
-        seen_by=claim.candidate,
+        accepted_candidate=claim.candidate,
         own_limit=claim.own_limit,
     )
--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -223,7 +223,7 @@
     newer = messages.Member("e9", 99)
     beat = messages.GrantorHeartbeat(KEY, context.term, newer, False)
     effects = entry.node.handle(node.Received("e9", beat), now)
-    assert [(one.to, one.message.holds) for one in effects] == [("e9", ())]
+    assert [(one.to, one.message.held_slots) for one in effects] == [("e9", ())]
 
 
 @when("a grant for an earlier life reaches an entry that asks")
