--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -1,19 +1,20 @@
-"""What is asked of placement, what it answers, and what its parts exchange."""
+"""Requests, results, messages and effects of slot placement."""
 
 from typing import NamedTuple
 
 from hyssopfold.core.membership import messages as membership
 
-# An age that stands for never, in seconds: JSON knows no infinity.
+# Age in seconds that stands for "never", because JSON cannot encode infinity.
 NEVER_S = 1e9
 
 
 class Region(NamedTuple):
-    """A region that may serve a request; `moved` if it is not at home there.
+    """A region that may serve a request.
 
-    Traffic that a decision of the system moved into a region is held to the
-    region's capacity less its headroom. Servers in `closed_domains` are not
-    to serve this request: a drain of these failure domains has reached it.
+    `moved` is set when the request's home is another region. Traffic that a
+    steering decision moved into a region may use the region's capacity less
+    its headroom. Servers in `closed_domains` must not serve this request,
+    because a drain of these failure domains applies to it.
     """
 
     name: str
@@ -22,14 +23,15 @@
 
 
 class Request(NamedTuple):
-    """A request that wants a slot.
-
-    `regions` come best first; `avoid` are servers already tried, which are not granted; `deadline` is
-    monotonic time in seconds; a lower `priority` number goes first.
-    `object_key` names the object that it concerns, where that should decide
-    the server, and `goal_s` the time within which an answer is worth most.
-    `route` names the row of the table that it came by, `waited_s` how long its
-    caller has waited already.
+    """A request that needs a slot of a server.
+
+    `regions` are in order of preference; `avoid` lists servers that were
+    already tried and are not granted again; `deadline` is monotonic time in
+    seconds; a lower `priority` number is served first. `object_key` names the
+    object that the request concerns if that object should determine the
+    server. `goal_s` is the latency goal: an answer within this time is worth
+    most. `route` names the row of the route table that matched, `waited_s` is
+    the time that the caller has already waited.
     """
 
     request_id: str
@@ -45,14 +47,15 @@
 
 
 class Grant(NamedTuple):
-    """A slot of a server, held until it is released.
-
-    `key` and `number` name the slot between holder and grantor. `estimated_load`
-    is what the choice took the server's load for, as a multiple of its slots,
-    and `load_age_s` the age of the server's own word of it in seconds.
-    `expected_s` is the time until the answer that it was made for, and `req`
-    the request that it answers, where the choice learns from its end. `is_cold`
-    tells that the server was taken for cold.
+    """A slot of a server, in use until it is released.
+
+    `key` and `number` identify the slot between holder and grantor.
+    `estimated_load` is the server's load as the choice assumed it, as a
+    multiple of its slots, and `load_age_s` the age of the server's own load
+    report in seconds. `expected_s` is the expected time until the answer.
+    `req` is the request that the grant answers; it is set where the choice of
+    servers learns from the result. `is_cold` is set when the server was
+    assumed to be cold.
     """
 
     server: membership.Server
@@ -67,14 +70,14 @@
 
 
 class Refused(NamedTuple):
-    """No slot: why, and in how many seconds to come back."""
+    """No slot is available: the reason, and when to retry, in seconds."""
 
     reason: str
     retry_after_s: float
 
 
 class Load(NamedTuple):
-    """What a server told of its load: requests running, waiting, its slots."""
+    """Load that a server reported: requests running and waiting, and slots."""
 
     running: int
     waiting: int
@@ -82,28 +85,33 @@
 
 
 class BusyServers(NamedTuple):
-    """Servers, by their lives, that told so many requests in their answers."""
+    """Message: loads of busy servers, as their answers reported them.
+
+    Each load is the key of a server incarnation (see `sightings.life_key`)
+    and the number of its requests.
+    """
 
     loads: tuple[tuple[int, int], ...]
 
 
 class SilentServers(NamedTuple):
-    """Message: servers at which the sender's requests wait in vain.
+    """Message: servers that answer none of the sender's pending requests.
 
-    Each by a number that stands for one life of it (see `sightings.life_key`).
+    Each is given as the key of a server incarnation (see
+    `sightings.life_key`).
     """
 
     incarnation_keys: tuple[int, ...]
 
 
 class AttemptResult(NamedTuple):
-    """How a grant ended, for the health of its server.
+    """How an attempt on a granted slot ended, for the health of its server.
 
     `kind` is `answered`, `failed` (connect or protocol error, time-out),
     `shed` (the server refused) or `cancelled` (the caller left). `connected`
-    tells whether the server took a connection, `healthy` whether what it
-    answered is no failure of its own, `load` what it told beside. `address_reassigned`
-    tells that another server has its address.
+    is set when the server accepted a connection, `healthy` when its answer is
+    no failure of the server. `load` is the load reported with the answer.
+    `address_reassigned` is set when another server now has the address.
     """
 
     kind: str
@@ -115,21 +123,25 @@
 
 
 class PoolRegion(NamedTuple):
-    """The slots that one grantor grants: those of a pool in a region."""
+    """A pool in a region: one grantor leases the slots of its servers."""
 
     pool: str
     region: str
 
 
 class Member(NamedTuple):
-    """One life of an entry or control instance."""
+    """One incarnation of an entry or control instance."""
 
     name: str
     incarnation: int
 
 
 class HeldSlot(NamedTuple):
-    """A slot in use: `number` is the holder's, growing from ask to ask."""
+    """A slot in use.
+
+    `number` is the number of the holder's slot request; each incarnation of a
+    holder counts its requests upwards.
+    """
 
     number: int
     server_id: str
@@ -137,13 +149,13 @@
 
 
 class Claim(NamedTuple):
-    """A candidate asks for the term, or the grantor renews it.
+    """Message: a candidate claims a term, or the grantor renews it.
 
     `version` 0 prepares a new term. From 1 on the claim sets or renews the
     list of `members` that may hold slots; None stands for the list that the
-    voter has already accepted under this term and version. `own_limit` comes
-    with the list: the candidate itself never uses more slots of a server, so
-    that no more need be kept back when it falls silent.
+    voter has already accepted for this term and version. `own_limit` belongs
+    to the list: the candidate itself never uses more slots of a server. When
+    the candidate fails, its successor withholds no more than these.
     """
 
     key: PoolRegion
@@ -156,12 +168,15 @@
 
 
 class Vote(NamedTuple):
-    """A voter's answer, with the newest list of members that it accepted.
-
-    `held_slots` lists the slots that the voter uses, when it is an entry that
-    promised not to use older grants; None when it did not. `control_term` is
-    the highest term that it heard of and that control had given, `standalone_term`
-    the highest of a grantor without control.
+    """Message: a voter's answer to a claim.
+
+    `promised` is the highest term that the voter promised. The `accepted_*`
+    fields are the newest list of members that it accepted: its term, version,
+    members, the candidate that proposed it and that candidate's own limit.
+    `held_slots` lists the slots that the voter uses, if it is an entry that
+    has promised to refuse older grants; otherwise None. `control_term` is the
+    highest term known to the voter that a majority of control granted,
+    `standalone_term` the highest of a grantor without such a majority.
     """
 
     key: PoolRegion
@@ -182,7 +197,7 @@
 
 
 class Resign(NamedTuple):
-    """The grantor grants no more: another may take over at once."""
+    """Message: the grantor stops granting; a successor may take over."""
 
     key: PoolRegion
     term: int
@@ -190,9 +205,9 @@
 
 
 class GrantorHeartbeat(NamedTuple):
-    """The grantor tells that it is there, to entries that may ask it.
+    """Message: heartbeat of a grantor to the entries that may request slots.
 
-    `standalone` says that control has not given it the term.
+    `standalone` is set when no majority of control granted the term.
     """
 
     key: PoolRegion
@@ -202,7 +217,7 @@
 
 
 class SlotRequest(NamedTuple):
-    """A holder wants a slot within `wait_s` seconds."""
+    """Message: a holder requests a slot and waits `wait_s` seconds for it."""
 
     key: PoolRegion
     holder: Member
@@ -216,7 +231,7 @@
 
 
 class SlotGranted(NamedTuple):
-    """A slot for the ask with this number of this life of the holder."""
+    """Message: a slot is granted to request `number` of this holder."""
 
     key: PoolRegion
     term: int
@@ -226,7 +241,7 @@
 
 
 class SlotDenied(NamedTuple):
-    """No slot for the ask with this number; it is forgotten."""
+    """Message: request `number` gets no slot and is dropped."""
 
     key: PoolRegion
     holder: Member
@@ -236,7 +251,7 @@
 
 
 class SlotRelease(NamedTuple):
-    """A slot, or an ask that no one waits for any more, is given back."""
+    """Message: a holder returns a slot or withdraws a slot request."""
 
     key: PoolRegion
     holder: Member
@@ -245,10 +260,11 @@
 
 
 class SlotSync(NamedTuple):
-    """All slots that a holder uses, among its asks up to number `highest_number`.
+    """Message: all slots that a holder uses, up to `highest_number`.
 
-    What the grantor counts beyond these was released, and the release lost;
-    asks up to `highest_number` that come later are late and must be ignored.
+    A slot that the grantor still counts, but that is not listed here, was
+    released and the release message was lost. Requests numbered up to
+    `highest_number` that arrive later are late and must be ignored.
     """
 
     key: PoolRegion
@@ -274,7 +290,7 @@
 
 
 class Send(NamedTuple):
-    """Effect: carry a message to an instance; it may be lost or doubled."""
+    """Effect: send a message to an instance; it may be lost or duplicated."""
 
     to: str
     message: Message
@@ -288,7 +304,7 @@
 
 
 class LogDecision(NamedTuple):
-    """Effect: log a decision of placement."""
+    """Effect: log a placement decision."""
 
     event: str
     fields: tuple[tuple[str, object], ...]
