--- a/hyssopfold/core/balancing/subset.py
+++ b/hyssopfold/core/balancing/subset.py
@@ -4,10 +4,10 @@
 import hashlib
 
 # Below this an entry could not serve a burst without opening connections.
-MIN_SHARE = 4
+MIN_CONNECTIONS_PER_ENTRY = 4
 
 
-def share(connections: int, slots: int, entries: int) -> int:
+def connections_per_entry(connections: int, slots: int, entries: int) -> int:
     """Return how many connections one entry may keep to a server.
 
     All entries together stay within what the server holds, less one for each
@@ -18,11 +18,11 @@
         slots: Requests that it runs at once.
         entries: Entries that keep connections to it.
     """
-    spare = max(0, connections - slots)
-    return max(1, spare // max(1, entries))
+    spare_connections = max(0, connections - slots)
+    return max(1, spare_connections // max(1, entries))
 
 
-def keeps(
+def keeps_idle_connections(
     entry: str,
     server_id: str,
     entries: Collection[str],
@@ -36,13 +36,15 @@
     the same at every entry that knows of the same ones. The others open a
     connection for a request and close it after.
     """
-    spare = max(0, connections - slots)
-    limit = max(1, spare // MIN_SHARE)
-    if len(entries) <= limit:
+    spare_connections = max(0, connections - slots)
+    max_keeping = max(1, spare_connections // MIN_CONNECTIONS_PER_ENTRY)
+    if len(entries) <= max_keeping:
         return True
-    mine = _weight(server_id, entry)
-    lower = sum(1 for one in entries if _weight(server_id, one) < mine)
-    return lower < limit
+    own_weight = _weight(server_id, entry)
+    lower_count = sum(
+        1 for name in entries if _weight(server_id, name) < own_weight
+    )
+    return lower_count < max_keeping
 
 
 def _weight(server_id: str, entry: str) -> bytes:
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -162,7 +162,7 @@
         most = server.connections
         if pool is not None:
             most = min(most, pool.connections)
-        return subset.share(most, server.slots, entries)
+        return subset.connections_per_entry(most, server.slots, entries)
 
     def _outside(
         self, adapters: entry_adapters.EntryAdapters
--- a/tests/steps/core/balancing/subset_steps.py
+++ b/tests/steps/core/balancing/subset_steps.py
@@ -13,10 +13,14 @@
     keeping = [
         name
         for name in names
-        if subset.keeps(name, "ledger-1", names, connections, SLOTS)
+        if subset.keeps_idle_connections(
+            name, "ledger-1", names, connections, SLOTS
+        )
     ]
-    each = subset.share(connections, SLOTS, len(keeping))
+    each = subset.connections_per_entry(connections, SLOTS, len(keeping))
     assert keeping
-    assert each >= min(subset.MIN_SHARE, connections - SLOTS), each
+    assert each >= min(subset.MIN_CONNECTIONS_PER_ENTRY, connections - SLOTS), (
+        each
+    )
     # The others open one for a granted request, and there are only so many.
     assert len(keeping) * each + SLOTS <= connections
