--- a/hyssopfold/core/balancing/drains.py
+++ b/hyssopfold/core/balancing/drains.py
@@ -1,13 +1,14 @@
-"""What the tables ask to be emptied."""
+"""Which servers the tables drain."""
 
 from hyssopfold import tables
 from hyssopfold.core.membership import messages
 
 
 def is_drained(pool: tables.Pool, server: messages.Server) -> bool:
-    """Return whether the tables ask for this server to be emptied.
+    """Return whether the tables drain this server.
 
-    Drains of regions and failure domains are shifts, see
-    `hyssopfold.core.steering`: they reach a request by its `Region`s.
+    Drains of regions and failure domains are shifts of traffic (see
+    `hyssopfold.core.steering`): they take effect through the `Region`s of a
+    request.
     """
     return server.server_id in pool.drains.servers
--- a/hyssopfold/core/balancing/subset.py
+++ b/hyssopfold/core/balancing/subset.py
@@ -1,25 +1,31 @@
-"""Each entry's part of the connections that a server holds."""
+"""Division of a server's connections among the entries."""
 
 from collections.abc import Collection
 import hashlib
 
-# Below this an entry could not serve a burst without opening connections.
+# With fewer connections an entry could not serve a burst without opening more.
 MIN_CONNECTIONS_PER_ENTRY = 4
 
 
-def connections_per_entry(connections: int, slots: int, entries: int) -> int:
-    """Return how many connections one entry may keep to a server.
+def connections_per_entry(
+    connections: int, slots: int, entry_count: int
+) -> int:
+    """Return how many idle connections one entry may keep to a server.
 
-    All entries together stay within what the server holds, less one for each
-    slot, which a grant may open at any entry.
+    All entries together stay below the server's connection limit by one
+    connection for each slot, because any entry may open a connection for a
+    granted slot.
 
     Args:
-        connections: What the server holds in all.
-        slots: Requests that it runs at once.
-        entries: Entries that keep connections to it.
+        connections: Connection limit of the server.
+        slots: Requests that the server runs at once.
+        entry_count: Number of entries that keep connections to the server.
+
+    Returns:
+        The number of connections, at least 1.
     """
     spare_connections = max(0, connections - slots)
-    return max(1, spare_connections // max(1, entries))
+    return max(1, spare_connections // max(1, entry_count))
 
 
 def keeps_idle_connections(
@@ -31,10 +37,18 @@
 ) -> bool:
     """Return whether an entry keeps idle connections to a server.
 
-    With few entries all do. With so many that each would have less than
-    `MIN_SHARE`, only those do whose hash with the server's name is lowest:
-    the same at every entry that knows of the same ones. The others open a
-    connection for a request and close it after.
+    With few entries all of them do. If there are too many for each to have
+    `MIN_CONNECTIONS_PER_ENTRY`, only the entries with the lowest hash of
+    server id and entry name do; entries with the same list of entries select
+    the same ones. The other entries open a connection for each request and
+    close it afterwards.
+
+    Args:
+        entry: Name of the entry in question.
+        server_id: Id of the server.
+        entries: Names of all entries.
+        connections: Connection limit of the server.
+        slots: Requests that the server runs at once.
     """
     spare_connections = max(0, connections - slots)
     max_keeping = max(1, spare_connections // MIN_CONNECTIONS_PER_ENTRY)
