--- a/bench/capacity/placement.py
+++ b/bench/capacity/placement.py
@@ -41,7 +41,9 @@
         other = messages.Member("entry-002", 1_760_000_000_000)
         rng = random.Random(1)
         won = election.Won(7, {}, frozenset())
-        self.grantor = grantor.Grantor(won, _KEY, health.Health(0.0), rng, 0.0)
+        self.grantor = grantor.Grantor(
+            won, _KEY, health.HealthTracker(0.0), rng, 0.0
+        )
         words = tuple(_server(number) for number in range(servers))
         self.pool = grantor.Pool(_POOL, words)
         self.grantor.refresh(self.pool, 0.0)
--- a/hyssopfold/core/balancing/grantor.py
+++ b/hyssopfold/core/balancing/grantor.py
@@ -41,7 +41,7 @@
         self,
         won: election.Won,
         key: messages.PoolRegion,
-        known: health.Health,
+        known: health.HealthTracker,
         rng: random.Random,
         now: float,
     ) -> None:
@@ -77,12 +77,12 @@
             if not drains.is_drained(row, server)
         }
         for server in self._servers.values():
-            self._health.see(server, now)
+            self._health.update_server(server, now)
             self.ledger.see(server)
         self._headroom = row.headroom
         self._warm_up_s = row.warm_up_s
         chosen = list(self._servers.values())
-        self._limits = self._health.limits(chosen, row.warm_up_s, now)
+        self._limits = self._health.slot_limits(chosen, row.warm_up_s, now)
         self._capacity = sum(self._limits.values())
 
     @property
@@ -131,7 +131,7 @@
         self.ledger.grant(ask.holder, ask.number, server)
         self._turn += 1
         self._turns[server.server_id] = self._turn
-        self._health.used(server.server_id, self._warm_up_s, now)
+        self._health.record_use(server.server_id, self._warm_up_s, now)
         granted = messages.SlotGranted(
             self._key, self.term, ask.holder, ask.number, server
         )
@@ -202,7 +202,7 @@
         if hold is None:
             self._withdraw(release.holder, release.number)
             return []
-        self._health.done(hold.server_id, release.result, now)
+        self._health.record_result(hold.server_id, release.result, now)
         self._queue.freed(now)
         return self.serve(now)
 
--- a/hyssopfold/core/balancing/health.py
+++ b/hyssopfold/core/balancing/health.py
@@ -1,4 +1,4 @@
-"""How many slots of each server are used now: health and warm-up."""
+"""Limits on the slots used of each server, from its health and warm-up."""
 
 from collections.abc import Collection
 import math
@@ -8,185 +8,220 @@
 from hyssopfold.core.balancing import messages
 from hyssopfold.core.membership import messages as membership
 
-# Failures in a row after which a server gets no new work for a while.
-EJECT_AFTER = 3
-FIRST_EJECT_S = 2.0
-MAX_EJECT_S = 60.0
-# At most this share of a pool's servers is ejected at once.
-MAX_EJECTED = 1 / 3
-# Requests in a row that a server refused, after which it gets one at a time.
-SHED_AFTER = 2
-SHED_S = 1.0
-# A server this many times slower than the median gets one at a time.
+# Consecutive failures after which a server is ejected: it gets no new requests
+# for a time that doubles with each ejection, within these bounds.
+EJECT_AFTER_FAILURES = 3
+FIRST_EJECTION_S = 2.0
+MAX_EJECTION_S = 60.0
+# At most this share of a pool's servers is ejected at the same time.
+MAX_EJECTED_SHARE = 1 / 3
+# Consecutive requests that a server refused, after which it gets one request at
+# a time for `SHED_LIMIT_S`.
+LIMIT_AFTER_SHEDS = 2
+SHED_LIMIT_S = 1.0
+# A server whose average duration exceeds the pool's median by this factor gets
+# one request at a time; only servers with enough samples are compared.
 SLOW_FACTOR = 4.0
-SLOW_SAMPLES = 10
-_GAIN = 0.1
-# A server that ran nothing for this long is taken for cold.
-IDLE_S = 300.0
+MIN_SLOW_SAMPLES = 10
+# Weight of the newest duration in the moving average.
+_AVERAGE_GAIN = 0.1
+# A server that ran no request for this long is assumed to be cold.
+COLD_AFTER_IDLE_S = 300.0
 
 
-class _Record(NamedTuple):
+class _ServerHealth(NamedTuple):
     incarnation: int
-    warm_from: float
+    warming_since: float
     failures: int = 0
     sheds: int = 0
     ejections: int = 0
     ejected_until: float = 0.0
-    shed_until: float = 0.0
-    seconds: float = 0.0
+    limited_until: float = 0.0
+    average_s: float = 0.0
     samples: int = 0
     last_used: float = 0.0
     on_probation: bool = False
 
 
-class Health:
-    """Judge the servers of a pool in a region by what requests showed.
+class HealthTracker:
+    """Health of the servers of a pool in a region, from request results.
 
-    Reports of the servers do not come in here: one that lies can neither
-    empty nor flood a server.
+    Load reports of the servers are not used, so that a server with false
+    reports can neither be cut off from requests nor be flooded with them.
 
     Args:
-        since: Monotonic seconds from which servers were known; what is seen
-            first until `settle_s` later was there before and is warm.
-        settle_s: Time in which a fresh process learns who is there.
+        since: Monotonic seconds at which this process began to learn of
+            servers. Servers that are first seen within `settle_s` seconds
+            after it ran before and are assumed to be warm.
+        settle_s: Seconds in which a new process learns of all servers.
     """
 
     def __init__(self, since: float, settle_s: float = 5.0) -> None:
-        self._settled = since + settle_s
-        self._records: dict[str, _Record] = {}
+        self._startup_until = since + settle_s
+        self._records: dict[str, _ServerHealth] = {}
 
-    def see(self, server: membership.Server, now: float) -> None:
-        """Note a server that is ready; a new one begins cold."""
-        held = self._records.get(server.server_id)
-        if held is not None and held.incarnation >= server.incarnation:
+    def update_server(self, server: membership.Server, now: float) -> None:
+        """Add or update a ready server; a new incarnation begins cold."""
+        record = self._records.get(server.server_id)
+        if record is not None and record.incarnation >= server.incarnation:
             return
-        cold = held is not None or now > self._settled
-        warm_from = now if cold else -math.inf
-        self._records[server.server_id] = _Record(
-            server.incarnation, warm_from, last_used=now
+        cold = record is not None or now > self._startup_until
+        warming_since = now if cold else -math.inf
+        self._records[server.server_id] = _ServerHealth(
+            server.incarnation, warming_since, last_used=now
         )
 
-    def forget(self, server_id: str) -> None:
-        """Drop a server that is gone."""
+    def remove_server(self, server_id: str) -> None:
+        """Remove a server that left."""
         self._records.pop(server_id, None)
 
-    def used(self, server_id: str, warm_up_s: float, now: float) -> None:
-        """Note that a request goes to a server; after long idling it is cold."""
-        held = self._records[server_id]
-        if now - held.last_used > max(IDLE_S, warm_up_s):
-            held = held._replace(warm_from=now)
-        self._records[server_id] = held._replace(last_used=now)
+    def record_use(self, server_id: str, warm_up_s: float, now: float) -> None:
+        """Record a request sent to a server; a long idle server is now cold.
 
-    def done(
-        self, server_id: str, done: messages.AttemptResult, now: float
+        Args:
+            server_id: A server that was given to `update_server`.
+            warm_up_s: Warm-up time of the pool in seconds.
+            now: Monotonic seconds.
+        """
+        record = self._records[server_id]
+        if now - record.last_used > max(COLD_AFTER_IDLE_S, warm_up_s):
+            record = record._replace(warming_since=now)
+        self._records[server_id] = record._replace(last_used=now)
+
+    def record_result(
+        self, server_id: str, result: messages.AttemptResult, now: float
     ) -> None:
-        """Take in how a request ended."""
-        held = self._records.get(server_id)
-        if held is None:
+        """Update a server's health with the result of a request."""
+        record = self._records.get(server_id)
+        if record is None:
             return
-        if done.kind == "failed":
-            held = self._failed(held, now)
-        elif done.kind == "shed":
-            held = _shed(held, now)
-        elif done.kind == "answered":
-            held = _answered(held, done.duration_s, now)
-        self._records[server_id] = held
-
-    def _failed(self, held: _Record, now: float) -> _Record:
-        failures = held.failures + 1
-        held = held._replace(failures=failures)
-        if failures < EJECT_AFTER and not held.on_probation:
-            return held
-        pause = min(MAX_EJECT_S, FIRST_EJECT_S * 2.0**held.ejections)
-        return held._replace(
+        if result.kind == "failed":
+            record = self._with_failure(record, now)
+        elif result.kind == "shed":
+            record = _with_shed(record, now)
+        elif result.kind == "answered":
+            record = _with_answer(record, result.duration_s, now)
+        self._records[server_id] = record
+
+    def _with_failure(self, record: _ServerHealth, now: float) -> _ServerHealth:
+        failures = record.failures + 1
+        record = record._replace(failures=failures)
+        if failures < EJECT_AFTER_FAILURES and not record.on_probation:
+            return record
+        ejection_s = min(
+            MAX_EJECTION_S, FIRST_EJECTION_S * 2.0**record.ejections
+        )
+        return record._replace(
             failures=0,
-            ejections=min(held.ejections + 1, 10),
-            ejected_until=now + pause,
+            ejections=min(record.ejections + 1, 10),
+            ejected_until=now + ejection_s,
             on_probation=True,
         )
 
-    def limits(
+    def slot_limits(
         self,
         servers: Collection[membership.Server],
         warm_up_s: float,
         now: float,
     ) -> dict[str, int]:
-        """Return how many slots of each server may be used now.
+        """Return how many slots of each server may be used now, by server id.
+
+        A limit never exceeds the server's slots. Ejected servers get 0, but
+        at most `MAX_EJECTED_SHARE` of the servers are ejected: when most of
+        them fail, the cause is probably elsewhere, and an empty pool would
+        refuse requests that could be served.
 
-        Never more than the server's slots. Ejected servers get 0, but never
-        more than `MAX_EJECTED` of them: when most fail, the cause is likely
-        elsewhere, and an empty pool would refuse what could be served.
+        Args:
+            servers: Servers that were given to `update_server`.
+            warm_up_s: Warm-up time of the pool in seconds.
+            now: Monotonic seconds.
         """
-        ejected = self._ejected(servers, now)
-        slow = self._slow(servers)
-        found = {}
+        ejected = self._ejected_servers(servers, now)
+        slow = self._slow_servers(servers)
+        limits = {}
         for server in servers:
-            held = self._records[server.server_id]
-            limit = _warm(server.slots, held, warm_up_s, now)
-            alone = (
-                held.on_probation
-                or held.shed_until > now
+            record = self._records[server.server_id]
+            limit = _warm_slots(server.slots, record, warm_up_s, now)
+            is_limited_to_one = (
+                record.on_probation
+                or record.limited_until > now
                 or server.server_id in slow
             )
             if server.server_id in ejected:
                 limit = 0
-            elif alone:
+            elif is_limited_to_one:
                 limit = 1
-            found[server.server_id] = limit
-        return found
+            limits[server.server_id] = limit
+        return limits
 
-    def _ejected(
+    def _ejected_servers(
         self, servers: Collection[membership.Server], now: float
     ) -> set[str]:
-        out = [
+        server_ids = [
             server.server_id
             for server in servers
             if self._records[server.server_id].ejected_until > now
         ]
-        out.sort(key=lambda one: (-self._records[one].ejections, one))
-        return set(out[: int(len(servers) * MAX_EJECTED)])
+        server_ids.sort(
+            key=lambda server_id: (
+                -self._records[server_id].ejections,
+                server_id,
+            )
+        )
+        return set(server_ids[: int(len(servers) * MAX_EJECTED_SHARE)])
 
-    def _slow(self, servers: Collection[membership.Server]) -> set[str]:
-        known = {
-            server.server_id: held.seconds
+    def _slow_servers(self, servers: Collection[membership.Server]) -> set[str]:
+        averages = {
+            server.server_id: record.average_s
             for server in servers
-            if (held := self._records[server.server_id]).samples >= SLOW_SAMPLES
+            if (record := self._records[server.server_id]).samples
+            >= MIN_SLOW_SAMPLES
         }
-        if len(known) < 3:
+        if len(averages) < 3:
             return set()
-        limit = SLOW_FACTOR * statistics.median(known.values())
-        out = [name for name, seconds in known.items() if seconds > limit]
-        out.sort(key=lambda name: (-known[name], name))
-        return set(out[: int(len(servers) * MAX_EJECTED)])
+        limit = SLOW_FACTOR * statistics.median(averages.values())
+        server_ids = [
+            server_id
+            for server_id, average_s in averages.items()
+            if average_s > limit
+        ]
+        server_ids.sort(key=lambda server_id: (-averages[server_id], server_id))
+        return set(server_ids[: int(len(servers) * MAX_EJECTED_SHARE)])
 
 
-def _shed(held: _Record, now: float) -> _Record:
-    sheds = held.sheds + 1
-    if sheds < SHED_AFTER:
-        return held._replace(sheds=sheds)
-    return held._replace(sheds=0, shed_until=now + SHED_S)
+def _with_shed(record: _ServerHealth, now: float) -> _ServerHealth:
+    sheds = record.sheds + 1
+    if sheds < LIMIT_AFTER_SHEDS:
+        return record._replace(sheds=sheds)
+    return record._replace(sheds=0, limited_until=now + SHED_LIMIT_S)
 
 
-def _answered(held: _Record, seconds: float, now: float) -> _Record:
-    if held.on_probation:
-        # It answers again: it comes back as a cold server does.
-        held = held._replace(on_probation=False, warm_from=now)
-    average = held.seconds + _GAIN * (seconds - held.seconds)
-    return held._replace(
+def _with_answer(
+    record: _ServerHealth, duration_s: float, now: float
+) -> _ServerHealth:
+    if record.on_probation:
+        # The ejected server answers again and warms up like a cold server.
+        record = record._replace(on_probation=False, warming_since=now)
+    average_s = record.average_s + _AVERAGE_GAIN * (
+        duration_s - record.average_s
+    )
+    return record._replace(
         failures=0,
         sheds=0,
-        ejections=max(0, held.ejections - 1)
-        if held.samples % 20 == 0
-        else held.ejections,
-        seconds=average if held.samples else seconds,
-        samples=held.samples + 1,
+        ejections=max(0, record.ejections - 1)
+        if record.samples % 20 == 0
+        else record.ejections,
+        average_s=average_s if record.samples else duration_s,
+        samples=record.samples + 1,
     )
 
 
-def _warm(slots: int, held: _Record, warm_up_s: float, now: float) -> int:
+def _warm_slots(
+    slots: int, record: _ServerHealth, warm_up_s: float, now: float
+) -> int:
     if warm_up_s <= 0:
         return slots
-    share = (now - held.warm_from) / warm_up_s
+    share = (now - record.warming_since) / warm_up_s
     if share >= 1:
         return slots
     return max(1, math.floor(slots * share))
--- a/hyssopfold/core/balancing/node.py
+++ b/hyssopfold/core/balancing/node.py
@@ -84,7 +84,7 @@
     """A key of this region, as this entry sees it."""
 
     election: election.Election
-    health: health.Health
+    health: health.HealthTracker
     unheard_since: float
 
 
@@ -205,7 +205,7 @@
         if key not in self._seats:
             self._seats[key] = _Seat(
                 election.Election(key, self._cfg.me, self._cfg.control),
-                health.Health(self._started),
+                health.HealthTracker(self._started),
                 now,
             )
         return self._seats[key]
--- a/tests/steps/core/balancing/health_steps.py
+++ b/tests/steps/core/balancing/health_steps.py
@@ -13,23 +13,23 @@
 def _(context, count, warm_up):
     context.now = 0.0
     context.warm_up_s = float(warm_up)
-    context.health = health.Health(0.0)
+    context.health = health.HealthTracker(0.0)
     context.words = {
         f"s{n}": fake_entries.server(f"s{n}") for n in range(count)
     }
     for word in context.words.values():
-        context.health.see(word, 0.0)
+        context.health.update_server(word, 0.0)
 
 
 def _limits(context):
     words = list(context.words.values())
-    return context.health.limits(words, context.warm_up_s, context.now)
+    return context.health.slot_limits(words, context.warm_up_s, context.now)
 
 
 def _done(context, name, kind, seconds=0.05, times=1):
     for _ in range(times):
         done = messages.AttemptResult(kind, seconds)
-        context.health.done(name, done, context.now)
+        context.health.record_result(name, done, context.now)
 
 
 @when('server "{name}" fails {times:d} times')
@@ -72,12 +72,12 @@
 def _(context, name):
     word = fake_entries.server(name, incarnation=2)
     context.words[name] = word
-    context.health.see(word, context.now)
+    context.health.update_server(word, context.now)
 
 
 @when('server "{name}" is used')
 def _(context, name):
-    context.health.used(name, context.warm_up_s, context.now)
+    context.health.record_use(name, context.warm_up_s, context.now)
 
 
 @then('the slots of "{name}" are {count:d} and all others {others:d}')
