--- a/bench/capacity/placement.py
+++ b/bench/capacity/placement.py
@@ -40,12 +40,12 @@
         self.me = messages.Member("entry-001", 1_760_000_000_000)
         other = messages.Member("entry-002", 1_760_000_000_000)
         rng = random.Random(1)
-        won = election.Won(7, {}, frozenset())
+        won = election.WonTerm(7, {}, frozenset())
         self.grantor = grantor.Grantor(
             won, _KEY, health.HealthTracker(0.0), rng, 0.0
         )
         words = tuple(_server(number) for number in range(servers))
-        self.pool = grantor.Pool(_POOL, words)
+        self.pool = grantor.PoolServers(_POOL, words)
         self.grantor.refresh(self.pool, 0.0)
         self.holder = holder.Holder(
             self.me, "dar-1", lambda _: other.name, lambda _: True, rng
@@ -58,7 +58,7 @@
 
     def beat(self, now: float) -> None:
         """Let the grantor be heard."""
-        self.holder.beat(self._beat, now)
+        self.holder.handle_heartbeat(self._beat, now)
 
     def wire(self, message: messages.Message) -> messages.Message:
         """Pass a message through the codec."""
@@ -79,13 +79,13 @@
             assert isinstance(effect, messages.Send)
             ask = self.wire(effect.message)
             assert isinstance(ask, messages.SlotRequest)
-            for answer in self.grantor.ask(ask, now):
+            for answer in self.grantor.handle_request(ask, now):
                 assert isinstance(answer, messages.Send)
                 self._take(self.wire(answer.message), now)
 
     def _take(self, message: messages.Message, now: float) -> None:
         assert isinstance(message, messages.SlotGranted), message
-        for effect in self.holder.granted("entry-002", message, now):
+        for effect in self.holder.handle_granted("entry-002", message, now):
             assert isinstance(effect, messages.Answer)
             assert isinstance(effect.result, messages.Grant)
             self.grants.append(effect.result)
--- a/bench/placement_failover.py
+++ b/bench/placement_failover.py
@@ -106,7 +106,7 @@
     load.run(RESTART_S)
     restarted = world.now
     withheld = [
-        world.entries[name].node.granting(KEY).ledger.withheld()
+        world.entries[name].node.own_grantor(KEY).ledger.withheld()
         for name in world.grantors()
         if name != old
     ]
--- a/hyssopfold/core/balancing/election.py
+++ b/hyssopfold/core/balancing/election.py
@@ -1,4 +1,4 @@
-"""Winning and keeping the right to grant the slots of a pool in a region."""
+"""Election of the entry that grants the slots of a pool in a region."""
 
 from collections import Counter
 from collections.abc import Collection
@@ -8,26 +8,32 @@
 
 from hyssopfold.core.balancing import messages
 
-RENEW_S = 0.3
-# How long a candidate waits for members' reports before it goes on.
-GATHER_S = 0.2
-# Rounds without a majority of control until a candidate goes on without.
-ROUNDS_ALONE = 3
-# Stands for members that a candidate without control cannot know of.
-UNKNOWN = messages.Member("", 0)
+RENEW_INTERVAL_S = 0.3
+# How long a candidate waits for members' reports before it proceeds.
+GATHER_TIMEOUT_S = 0.2
+# Rounds without a majority of control after which a candidate proceeds as a
+# standalone grantor.
+STANDALONE_AFTER_ROUNDS = 3
+# Stands for members that a candidate without control cannot know.
+UNKNOWN_MEMBER = messages.Member("", 0)
 
 Members = tuple[messages.Member, ...]
 
 
-class Won(NamedTuple):
-    """A term was won; `silent` ones may use slots that were not reported."""
+class WonTerm(NamedTuple):
+    """A term that was won, with the members' reports.
+
+    `reports` lists the slots in use by member. The `unreported` members may
+    use slots that were not reported. `previous_grantor` is the previous
+    grantor, `previous_own_limit` the number of slots of a server that it may
+    use itself.
+    """
 
     term: int
     reports: Mapping[messages.Member, tuple[messages.HeldSlot, ...]]
-    silent: frozenset[messages.Member]
-    # The last grantor, and how many slots of a server it may use itself.
-    last: messages.Member | None = None
-    last_own_limit: int = 0
+    unreported: frozenset[messages.Member]
+    previous_grantor: messages.Member | None = None
+    previous_own_limit: int = 0
 
 
 class _Phase(enum.Enum):
@@ -39,20 +45,21 @@
 
 
 class Election:
-    """Claim a term, keep it, and keep the list of who may hold slots.
-
-    A majority of the control instances gives a term and keeps the list of
-    members that may hold slots. That no slot is granted twice does not rest
-    on it, nor on clocks: a grantor grants only slots that members reported
-    to it or gave back to it, and all others once every listed member has
-    reported and so promised to refuse older terms. The majority is needed
-    to know that list. When control is cut off, a grantor goes on; without a
-    grantor a candidate goes on with what is reported, and keeps back the
-    rest until control is there again.
+    """One entry's part in the election of a grantor; used by `node.Node`.
+
+    It claims a term, renews it, and maintains the list of members that may
+    hold slots. A majority of the control instances grants a term and stores
+    that list. The rule that no slot is granted twice depends neither on this
+    majority nor on clocks: a grantor grants only slots that members reported
+    or released to it, and all other slots once every listed member has
+    reported and has thereby promised to refuse older terms. The majority is
+    needed to learn the list. If control is unreachable, a grantor continues.
+    Without a grantor, a candidate becomes a standalone grantor of the
+    reported slots, and withholds the others until control is reachable again.
 
     Args:
-        key: What is granted.
-        me: This life of the entry.
+        key: The pool and region whose slots are granted.
+        me: This incarnation of the entry.
         control: Names of the control instances.
     """
 
@@ -65,77 +72,84 @@
         self.key = key
         self.term = 0
         self.members: Members = ()
-        self.alone = False
-        # Slots of a server that a grantor may use itself beside others.
+        self.standalone = False
+        # Slots of a server that a grantor may use itself, beside other members.
         self.own_quota = 1
         self.own_limit = 0
         self._established_own_limit = 0
         self._proposed_own_limit = 0
-        self._last: messages.Member | None = None
-        self._last_own_limit = 0
+        self._previous_grantor: messages.Member | None = None
+        self._previous_own_limit = 0
         self._me = me
-        self._control = frozenset(control)
+        self._control_names = frozenset(control)
         self._phase = _Phase.IDLE
         self._round = 0
         self._sent_at = 0.0
-        self._gather_from = 0.0
+        self._gather_started_at = 0.0
         self._votes: dict[str, messages.Vote] = {}
         self._reports: dict[str, messages.Vote] = {}
-        self._asked: set[str] = set()
-        self._seen = (0, 0)
-        self._listed: Members = ()
-        self._highest = 0
+        self._polled: set[str] = set()
+        self._newest_accepted = (0, 0)
+        self._accepted_members: Members = ()
+        self._highest_term = 0
         self._version = 0
-        # Members that control has accepted; only these may get slots.
+        # Members that control has accepted; only these may be granted slots.
         self._established: Members = ()
-        self._confirmed: dict[str, int] = {}
+        self._confirmed_versions: dict[str, int] = {}
         self._proposal: Members | None = None
-        self._rounds_alone = 0
+        self._rounds_without_majority = 0
         self._control_term = 0
         self._standalone_term = 0
 
     @property
     def idle(self) -> bool:
-        """Return whether no claim is under way and no term is held."""
+        """Return whether this entry neither claims nor has a term."""
         return self._phase is _Phase.IDLE
 
     @property
     def leading(self) -> bool:
-        """Return whether a term was won and not yet given up."""
+        """Return whether this entry has won a term and not yet given it up."""
         return self._phase is _Phase.LEAD
 
-    def may_hold(self, member: messages.Member) -> bool:
-        """Return whether a life of an entry may be granted slots."""
+    def may_hold_slots(self, member: messages.Member) -> bool:
+        """Return whether an incarnation of an entry may be granted slots."""
         return member in self._established
 
     def campaign(
-        self, known_term: int, control_term: int, now: float
+        self, highest_term: int, control_term: int, now: float
     ) -> list[messages.Effect]:
-        """Begin to claim the next term.
+        """Start to claim the next term.
 
         Args:
-            known_term: Highest term heard of.
-            control_term: Highest term heard of that control had given.
+            highest_term: Highest known term.
+            control_term: Highest known term that control granted.
             now: Monotonic seconds.
+
+        Returns:
+            The claims to send.
         """
-        self.term = max(self.term, known_term, self._highest) + 1
+        self.term = max(self.term, highest_term, self._highest_term) + 1
         self._control_term = control_term
         self._phase = _Phase.PREPARE
-        self._seen, self._listed, self._version = (0, 0), (), 0
-        self._last, self._last_own_limit = None, 0
+        self._newest_accepted, self._accepted_members, self._version = (
+            (0, 0),
+            (),
+            0,
+        )
+        self._previous_grantor, self._previous_own_limit = None, 0
         self._standalone_term, self._proposed_own_limit = 0, 0
-        self._established, self._confirmed = (), {}
-        self._reports, self._proposal, self.alone = {}, None, False
-        self._asked = set()
-        return self._next_round(self._control, now)
+        self._established, self._confirmed_versions = (), {}
+        self._reports, self._proposal, self.standalone = {}, None, False
+        self._polled = set()
+        return self._start_round(self._control_names, now)
 
     def step_down(self) -> None:
-        """Grant no more under this term."""
+        """Give up the term or the claim of one."""
         self._phase = _Phase.IDLE
 
     @property
-    def own_allowed(self) -> int:
-        """Return how many slots of a server this entry may use itself."""
+    def effective_own_limit(self) -> int:
+        """Return how many slots of a server this entry may use itself now."""
         return min(
             self.own_limit,
             self._established_own_limit,
@@ -143,63 +157,72 @@
         )
 
     def propose(self, members: Members, own_limit: int) -> None:
-        """Propose another list; it counts once control has accepted it.
+        """Propose a list of members; it takes effect when control accepts it.
 
         Args:
-            members: Who may hold slots.
-            own_limit: Slots of a server that this entry may use itself; not
-                below what it uses.
+            members: Members that may hold slots.
+            own_limit: Slots of a server that this entry may use itself; at
+                least as many as it uses.
         """
         self._proposal = members
         self._proposed_own_limit = own_limit
 
-    def heard_term(self, term: int) -> bool:
-        """Note a term of another; return whether it ended this entry's."""
-        self._highest = max(self._highest, term)
+    def observe_term(self, term: int) -> bool:
+        """Record a term of another entry; return whether it ends this one's."""
+        self._highest_term = max(self._highest_term, term)
         if term <= self.term or self.idle:
             return False
-        led = self.leading
+        was_leading = self.leading
         self.step_down()
-        return led
+        return was_leading
 
     def tick(
-        self, nearby: Collection[str], silent: Collection[str], now: float
-    ) -> tuple[list[messages.Effect], Won | None]:
-        """Renew, go on, or give up a claim that got too few votes.
+        self,
+        region_entries: Collection[str],
+        unreported: Collection[str],
+        now: float,
+    ) -> tuple[list[messages.Effect], WonTerm | None]:
+        """Renew the term, or continue or give up a claim; call every 0.1 s.
 
         Args:
-            nearby: Names of the entries of this region.
-            silent: Names of members whose report is still missing.
+            region_entries: Names of the entries of this region.
+            unreported: Names of members whose report is still missing.
             now: Monotonic seconds.
+
+        Returns:
+            The claims to send, and the term if it was won.
         """
         if self._phase is _Phase.GATHER:
-            if now - self._gather_from < GATHER_S:
+            if now - self._gather_started_at < GATHER_TIMEOUT_S:
                 return [], None
-            return self._accept(now)
-        if self.idle or now - self._sent_at < RENEW_S:
+            return self._propose_members(now)
+        if self.idle or now - self._sent_at < RENEW_INTERVAL_S:
             return [], None
         if self.leading:
-            return self._renew(silent, now), None
+            return self._renew(unreported, now), None
         refused = any(not vote.granted for vote in self._votes.values())
-        self._rounds_alone = 0 if refused else self._rounds_alone + 1
-        if self._rounds_alone < ROUNDS_ALONE:
+        self._rounds_without_majority = (
+            0 if refused else self._rounds_without_majority + 1
+        )
+        if self._rounds_without_majority < STANDALONE_AFTER_ROUNDS:
             self.step_down()
             return [], None
-        self.alone = True
-        return self._gather(nearby, now), None
+        self.standalone = True
+        return self._gather(region_entries, now), None
 
     def _renew(
-        self, silent: Collection[str], now: float
+        self, unreported: Collection[str], now: float
     ) -> list[messages.Effect]:
-        heard = self._by_control()
-        if self.alone and heard:
-            # Control is there again: a proper term tells who may hold slots.
+        has_majority = self._has_control_majority()
+        if self.standalone and has_majority:
+            # Control is reachable again: claim a term that control grants,
+            # which also restores the list of members.
             return self.campaign(self.term, self._control_term, now)
         settled = (self.members, self.own_limit) == (
             self._established,
             self._established_own_limit,
         )
-        if self._proposal is not None and settled and not self.alone:
+        if self._proposal is not None and settled and not self.standalone:
             changed = set(self._proposal) != set(self.members)
             changed |= self._proposed_own_limit != self.own_limit
             if changed:
@@ -207,16 +230,25 @@
                 self.members = self._proposal
                 self.own_limit = self._proposed_own_limit
         self._proposal = None
-        targets = self._control | set(silent) | {self._me.name}
-        return self._next_round(targets, now)
-
-    def take(
-        self, vote: messages.Vote, nearby: Collection[str], now: float
-    ) -> tuple[list[messages.Effect], Won | None]:
-        """Count a vote; return claims to send, and the term once won."""
-        self.heard_term(vote.promised)
-        mine = vote.term == self.term and vote.candidate == self._me
-        if self.idle or not mine:
+        targets = self._control_names | set(unreported) | {self._me.name}
+        return self._start_round(targets, now)
+
+    def record_vote(
+        self, vote: messages.Vote, region_entries: Collection[str], now: float
+    ) -> tuple[list[messages.Effect], WonTerm | None]:
+        """Count a vote.
+
+        Args:
+            vote: The vote.
+            region_entries: Names of the entries of this region.
+            now: Monotonic seconds.
+
+        Returns:
+            The claims to send, and the term if it was won.
+        """
+        self.observe_term(vote.promised)
+        is_own = vote.term == self.term and vote.candidate == self._me
+        if self.idle or not is_own:
             return [], None
         self._control_term = max(self._control_term, vote.control_term)
         self._standalone_term = max(self._standalone_term, vote.standalone_term)
@@ -226,12 +258,12 @@
             return [], None
         self._votes[vote.voter.name] = vote
         if self._phase in (_Phase.PREPARE, _Phase.GATHER):
-            return self._take_promise(vote, nearby, now)
+            return self._record_promise(vote, region_entries, now)
         if vote.granted:
-            self._confirmed[vote.voter.name] = self._version
+            self._confirmed_versions[vote.voter.name] = self._version
         else:
-            self._confirmed.pop(vote.voter.name, None)
-        if not self._by_control() or self.alone:
+            self._confirmed_versions.pop(vote.voter.name, None)
+        if not self._has_control_majority() or self.standalone:
             return [], None
         self._established = self.members
         self._established_own_limit = self.own_limit
@@ -239,7 +271,7 @@
             return [], None
         return [], self._win()
 
-    def _next_round(
+    def _start_round(
         self, targets: Collection[str], now: float
     ) -> list[messages.Effect]:
         self._round += 1
@@ -248,11 +280,11 @@
         return [self._claim(name) for name in sorted(targets)]
 
     def _claim(self, name: str) -> messages.Effect:
-        # Without control its list is not known, and must not be replaced
-        # by a shorter one when control is there again.
-        version = 0 if self.alone else self._version
-        known = self._confirmed.get(name) == version
-        members = None if known or not version else self.members
+        # A standalone candidate does not know control's list. It must not
+        # replace it by a shorter one when control is reachable again.
+        version = 0 if self.standalone else self._version
+        is_confirmed = self._confirmed_versions.get(name) == version
+        members = None if is_confirmed or not version else self.members
         claim = messages.Claim(
             self.key,
             self.term,
@@ -264,93 +296,123 @@
         )
         return messages.Send(name, claim)
 
-    def _by_control(self) -> bool:
-        granted = {name for name, one in self._votes.items() if one.granted}
-        return len(self._control & granted) * 2 > len(self._control)
-
-    def _take_promise(
-        self, vote: messages.Vote, nearby: Collection[str], now: float
-    ) -> tuple[list[messages.Effect], Won | None]:
-        seen = (vote.accepted_term, vote.accepted_version)
-        if seen > self._seen:
-            self._seen, self._listed = seen, vote.accepted_members
-            self._last, self._last_own_limit = (
+    def _has_control_majority(self) -> bool:
+        granted = {name for name, vote in self._votes.items() if vote.granted}
+        return len(self._control_names & granted) * 2 > len(self._control_names)
+
+    def _record_promise(
+        self, vote: messages.Vote, region_entries: Collection[str], now: float
+    ) -> tuple[list[messages.Effect], WonTerm | None]:
+        accepted = (vote.accepted_term, vote.accepted_version)
+        if accepted > self._newest_accepted:
+            self._newest_accepted, self._accepted_members = (
+                accepted,
+                vote.accepted_members,
+            )
+            self._previous_grantor, self._previous_own_limit = (
                 vote.accepted_candidate,
                 vote.accepted_own_limit,
             )
         if self._phase is _Phase.PREPARE:
-            if not self._by_control():
+            if not self._has_control_majority():
                 return [], None
-            self._rounds_alone = 0
-            return self._gather(nearby, now), None
-        sends = self._ask_members(())
-        if self._missing():
-            return sends, None
-        return self._accept(now)
+            self._rounds_without_majority = 0
+            return self._gather(region_entries, now), None
+        effects = self._poll_members(())
+        if self._unanswered():
+            return effects, None
+        return self._propose_members(now)
 
     def _gather(
-        self, nearby: Collection[str], now: float
+        self, region_entries: Collection[str], now: float
     ) -> list[messages.Effect]:
-        # Entries are asked only now: their promise makes them refuse what
-        # the last grantor grants, and it may go on while control lets it.
+        # Entries are polled only now: their promise makes them refuse grants
+        # of the previous grantor, which may continue as long as control has
+        # not granted a newer term.
         self._phase = _Phase.GATHER
-        self._gather_from = now
-        return self._ask_members(nearby)
+        self._gather_started_at = now
+        return self._poll_members(region_entries)
 
-    def _ask_members(self, nearby: Collection[str]) -> list[messages.Effect]:
-        names = {one.name for one in self._listed}.union(nearby)
-        names = (names | {self._me.name}) - self._asked
-        self._asked |= names
+    def _poll_members(
+        self, region_entries: Collection[str]
+    ) -> list[messages.Effect]:
+        names = {member.name for member in self._accepted_members}.union(
+            region_entries
+        )
+        names = (names | {self._me.name}) - self._polled
+        self._polled |= names
         return [self._claim(name) for name in sorted(names)]
 
-    def _missing(self) -> set[str]:
-        return self._asked - self._reports.keys()
+    def _unanswered(self) -> set[str]:
+        return self._polled - self._reports.keys()
 
-    def _accept(self, now: float) -> tuple[list[messages.Effect], Won | None]:
+    def _propose_members(
+        self, now: float
+    ) -> tuple[list[messages.Effect], WonTerm | None]:
         if self._me.name not in self._reports:
-            # This entry has promised another candidate meanwhile.
+            # This entry has promised its vote to another candidate meanwhile.
             self.step_down()
             return [], None
-        lives = {one.name: one for one in self._listed}
-        for name in self._asked:
+        members_by_name = {
+            member.name: member for member in self._accepted_members
+        }
+        for name in self._polled:
             vote = self._reports.get(name)
             if vote is not None:
-                lives[name] = vote.voter
-        lives[self._me.name] = self._me
-        self.members = tuple(lives[name] for name in sorted(lives))
+                members_by_name[name] = vote.voter
+        members_by_name[self._me.name] = self._me
+        self.members = tuple(
+            members_by_name[name] for name in sorted(members_by_name)
+        )
         self._version = 1
-        self.own_limit = max(self.own_quota, self._own_use())
-        if self.alone:
+        self.own_limit = max(self.own_quota, self._own_usage())
+        if self.standalone:
             self._established = self.members
             self._established_own_limit = self.own_limit
             return [], self._win()
         self._phase = _Phase.ACCEPT
-        targets = self._control | {one.name for one in self.members}
-        return self._next_round(targets, now), None
-
-    def _own_use(self) -> int:
-        mine = self._reports.get(self._me.name)
-        holds = mine.held_slots if mine is not None and mine.held_slots else ()
-        used = Counter(hold.server_id for hold in holds)
-        return max(used.values(), default=0)
+        targets = self._control_names | {member.name for member in self.members}
+        return self._start_round(targets, now), None
+
+    def _own_usage(self) -> int:
+        own_vote = self._reports.get(self._me.name)
+        held_slots = (
+            own_vote.held_slots
+            if own_vote is not None and own_vote.held_slots
+            else ()
+        )
+        slots_by_server = Counter(slot.server_id for slot in held_slots)
+        return max(slots_by_server.values(), default=0)
 
-    def _win(self) -> Won:
+    def _win(self) -> WonTerm:
         self._phase = _Phase.LEAD
         reports = {
             vote.voter: vote.held_slots or () for vote in self._reports.values()
         }
-        silent = {one for one in self.members if one not in reports}
+        unreported = {
+            member for member in self.members if member not in reports
+        }
         # An entry that did not answer may hold slots of a term that control
-        # knows nothing of.
-        known = {one.name for one in (*reports, *silent)}
-        silent |= {messages.Member(name, 0) for name in self._asked - known}
-        if self.alone or self._seen[0] < self._control_term:
-            # Control is cut off, or has lost the list in a restart of all
-            # its instances: members that are not known of may hold slots.
-            silent.add(UNKNOWN)
-        # A grantor without control came after: under it, the last one that
-        # control knows of was a holder, without a limit.
-        last = self._last if self._standalone_term <= self._seen[0] else None
-        return Won(
-            self.term, reports, frozenset(silent), last, self._last_own_limit
+        # does not know.
+        names = {member.name for member in (*reports, *unreported)}
+        unreported |= {
+            messages.Member(name, 0) for name in self._polled - names
+        }
+        if self.standalone or self._newest_accepted[0] < self._control_term:
+            # Control is unreachable, or lost the list when all its instances
+            # restarted: unknown members may hold slots.
+            unreported.add(UNKNOWN_MEMBER)
+        # If a standalone grantor followed the last grantor that control
+        # knows, the latter was an ordinary holder then, without a limit.
+        previous_grantor = (
+            self._previous_grantor
+            if self._standalone_term <= self._newest_accepted[0]
+            else None
+        )
+        return WonTerm(
+            self.term,
+            reports,
+            frozenset(unreported),
+            previous_grantor,
+            self._previous_own_limit,
         )
--- a/hyssopfold/core/balancing/grantor.py
+++ b/hyssopfold/core/balancing/grantor.py
@@ -1,4 +1,4 @@
-"""Granting the slots of a pool in a region while this entry holds the term."""
+"""Granting of a pool's slots in a region while this entry has the term."""
 
 from collections.abc import Collection
 import random
@@ -14,60 +14,67 @@
 from hyssopfold.core.membership import messages as membership
 
 MIN_RETRY_AFTER_S = 0.5
-# Slots of a holder that stays silent are kept back this long: no request
-# lasts longer, so none of its can still run.
+# Slots of a holder that sends no message stay counted this long. No request
+# lasts longer, so none of the holder's requests can still run then.
 HOLD_MAX_S = 1800.0
 
 
-class Pool(NamedTuple):
-    """What a grantor needs of a pool's row, and its servers that are ready."""
+class PoolServers(NamedTuple):
+    """A pool's row of the tables and its ready servers in the region."""
 
     row: tables.Pool
     servers: tuple[membership.Server, ...]
 
 
 class Grantor:
-    """Hand out slots; one request at a time to a slot.
+    """The grantor of a pool's slots in a region, for one term.
+
+    A slot is granted to one request at a time. The entry's `node.Node` creates
+    a grantor for each term that the entry wins.
 
     Args:
-        won: The term and what its members reported.
-        key: What is granted.
-        known: Health of the servers, kept from term to term.
-        rng: Source that spreads retry-after.
+        won: The term and the slots that its members reported.
+        key: The pool and region whose slots are granted.
+        health_tracker: Health of the servers, kept from term to term.
+        rng: Random source that spreads retry-after times.
         now: Monotonic seconds.
     """
 
     def __init__(
         self,
-        won: election.Won,
+        won: election.WonTerm,
         key: messages.PoolRegion,
-        known: health.HealthTracker,
+        health_tracker: health.HealthTracker,
         rng: random.Random,
         now: float,
     ) -> None:
         self.ledger = ledger.Ledger(
-            won.reports, won.silent, won.last, won.last_own_limit
+            won.reports,
+            won.unreported,
+            won.previous_grantor,
+            won.previous_own_limit,
         )
-        # What this entry may use itself: see `messages.Claim`.
+        # This entry and the slots of a server that it may use itself: see
+        # `messages.Claim`.
         self.me: messages.Member | None = None
         self.own_limit = 0
         self.term = won.term
         self._key = key
-        self._health = known
+        self._health = health_tracker
         self._rng = rng
         self._queue: queue.Queue[messages.SlotRequest] = queue.Queue()
-        self._heard: dict[messages.Member, float] = {}
-        self._since = now
+        self._last_message_at: dict[messages.Member, float] = {}
+        self._started_at = now
         self._capacity = 0
-        self._limits: dict[str, int] = {}
+        self._slot_limits: dict[str, int] = {}
         self._servers: dict[str, membership.Server] = {}
-        self._turns: dict[str, int] = {}
-        self._turn = 0
+        self._last_granted: dict[str, int] = {}
+        self._grant_count = 0
         self._headroom = 0.0
         self._warm_up_s = 0.0
 
-    def refresh(self, pool: Pool, now: float) -> None:
-        """Take in the pool's row and the servers that may get new work."""
+    def refresh(self, pool: PoolServers, now: float) -> None:
+        """Update the pool's settings, its servers and their limits."""
         row = pool.row
         self._servers = {
             server.server_id: server._replace(
@@ -78,182 +85,199 @@
         }
         for server in self._servers.values():
             self._health.update_server(server, now)
-            self.ledger.see(server)
+            self.ledger.update_server(server)
         self._headroom = row.headroom
         self._warm_up_s = row.warm_up_s
-        chosen = list(self._servers.values())
-        self._limits = self._health.slot_limits(chosen, row.warm_up_s, now)
-        self._capacity = sum(self._limits.values())
+        servers = list(self._servers.values())
+        self._slot_limits = self._health.slot_limits(
+            servers, row.warm_up_s, now
+        )
+        self._capacity = sum(self._slot_limits.values())
 
     @property
     def capacity(self) -> int:
-        """Return the slots that may be used now."""
+        """Return the number of slots that may be used now."""
         return self._capacity
 
-    def waiting(self) -> int:
-        """Return the asks in the queue."""
+    def queue_length(self) -> int:
+        """Return the number of requests in the queue."""
         return len(self._queue)
 
-    def ask(
-        self, ask: messages.SlotRequest, now: float
+    def handle_request(
+        self, request: messages.SlotRequest, now: float
     ) -> list[messages.Effect]:
-        """Grant, queue or deny; a doubled ask gets its first grant again."""
-        self._heard[ask.holder] = now
-        held = self.ledger.find(ask.holder, ask.number)
-        if held is not None:
-            return self._regrant(ask, held)
-        if ask in self._queue.items():
+        """Grant, queue or deny a request; a duplicate gets its grant again."""
+        self._last_message_at[request.holder] = now
+        slot = self.ledger.held_slot(request.holder, request.number)
+        if slot is not None:
+            return self._resend_grant(request, slot)
+        if request in self._queue.items():
             return []
-        if all(self._is_held(one) for one in self._queue.items()):
-            server = self._pick(ask)
+        if all(self._is_constrained(queued) for queued in self._queue.items()):
+            server = self._choose_server(request)
             if server is not None:
-                return self._grant(ask, server, now)
-        if not self._queue.push(ask, ask.priority, now + ask.wait_s, now):
-            return [self._deny(ask, "pool-full", now)]
+                return self._grant(request, server, now)
+        if not self._queue.push(
+            request, request.priority, now + request.wait_s, now
+        ):
+            return [self._deny(request, "pool-full", now)]
         return []
 
-    def _regrant(
-        self, ask: messages.SlotRequest, held: messages.HeldSlot
+    def _resend_grant(
+        self, request: messages.SlotRequest, slot: messages.HeldSlot
     ) -> list[messages.Effect]:
-        server = self._servers.get(held.server_id)
-        if server is None or server.incarnation != held.server_incarnation:
-            # Its first grant may have arrived: the slot stays counted, and
-            # the holder gives it back when it waits no longer.
+        server = self._servers.get(slot.server_id)
+        if server is None or server.incarnation != slot.server_incarnation:
+            # The first grant may have arrived: the slot stays counted, and
+            # the holder releases it when it no longer waits for it.
             return []
         granted = messages.SlotGranted(
-            self._key, self.term, ask.holder, ask.number, server
+            self._key, self.term, request.holder, request.number, server
         )
-        return [messages.Send(ask.holder.name, granted)]
+        return [messages.Send(request.holder.name, granted)]
 
     def _grant(
-        self, ask: messages.SlotRequest, server: membership.Server, now: float
+        self,
+        request: messages.SlotRequest,
+        server: membership.Server,
+        now: float,
     ) -> list[messages.Effect]:
-        self.ledger.grant(ask.holder, ask.number, server)
-        self._turn += 1
-        self._turns[server.server_id] = self._turn
+        self.ledger.grant(request.holder, request.number, server)
+        self._grant_count += 1
+        self._last_granted[server.server_id] = self._grant_count
         self._health.record_use(server.server_id, self._warm_up_s, now)
         granted = messages.SlotGranted(
-            self._key, self.term, ask.holder, ask.number, server
+            self._key, self.term, request.holder, request.number, server
         )
-        return [messages.Send(ask.holder.name, granted)]
+        return [messages.Send(request.holder.name, granted)]
 
     def _deny(
-        self, ask: messages.SlotRequest, reason: str, now: float
+        self, request: messages.SlotRequest, reason: str, now: float
     ) -> messages.Effect:
-        wait = max(MIN_RETRY_AFTER_S, self._queue.wait_s(9, now))
-        # Callers that were refused together must not come back together.
-        spread = wait * self._rng.uniform(1.0, 2.0)
+        wait_s = max(MIN_RETRY_AFTER_S, self._queue.wait_s(9, now))
+        # Callers that were refused together must not retry together.
+        retry_after_s = wait_s * self._rng.uniform(1.0, 2.0)
         denied = messages.SlotDenied(
-            self._key, ask.holder, ask.number, reason, spread
+            self._key, request.holder, request.number, reason, retry_after_s
         )
-        return messages.Send(ask.holder.name, denied)
+        return messages.Send(request.holder.name, denied)
 
-    def _pick(self, ask: messages.SlotRequest) -> membership.Server | None:
-        if ask.moved and not self._moved_fits():
+    def _choose_server(
+        self, request: messages.SlotRequest
+    ) -> membership.Server | None:
+        if request.moved and not self._has_room_for_moved():
             return None
-        free = [
+        candidates = [
             server
             for server_id, server in self._servers.items()
-            if self.ledger.used(server_id) < self._limits[server_id]
-            and server_id not in ask.avoid
-            and server.failure_domain not in ask.closed_domains
-            and self._may_use(ask.holder, server_id)
+            if self.ledger.used_slots(server_id) < self._slot_limits[server_id]
+            and server_id not in request.avoid
+            and server.failure_domain not in request.closed_domains
+            and self._may_use(request.holder, server_id)
         ]
-        if not free:
+        if not candidates:
             return None
-        return min(free, key=lambda one: self._rank(one, ask))
+        return min(
+            candidates, key=lambda server: self._preference(server, request)
+        )
 
-    def _is_held(self, ask: messages.SlotRequest) -> bool:
-        """Return whether more than free slots decides, so that others go on.
+    def _is_constrained(self, request: messages.SlotRequest) -> bool:
+        """Return whether a request may wait although slots are free.
 
-        So it is with asks moved in, of this entry, with domains shut or with
-        servers that were tried.
+        This holds for requests that were moved into the region, requests of
+        this entry, and requests that exclude failure domains or servers.
+        They must not block the requests behind them in the queue.
         """
-        shut = bool(ask.closed_domains or ask.avoid)
-        return ask.moved or shut or ask.holder == self.me
+        is_restricted = bool(request.closed_domains or request.avoid)
+        return request.moved or is_restricted or request.holder == self.me
 
     def _may_use(self, holder: messages.Member, server_id: str) -> bool:
         if holder != self.me:
             return True
-        return self.ledger.used_by(holder, server_id) < self.own_limit
+        return self.ledger.slots_used_by(holder, server_id) < self.own_limit
 
-    def _moved_fits(self) -> bool:
-        used = sum(self.ledger.used(server_id) for server_id in self._servers)
+    def _has_room_for_moved(self) -> bool:
+        used = sum(
+            self.ledger.used_slots(server_id) for server_id in self._servers
+        )
         return used + 1 <= self._capacity * (1 - self._headroom)
 
-    def _rank(
-        self, server: membership.Server, ask: messages.SlotRequest
+    def _preference(
+        self, server: membership.Server, request: messages.SlotRequest
     ) -> tuple[bool, float, int]:
-        used = self.ledger.used(server.server_id)
-        # Its own count is exact, so what servers report is not used here.
-        # Among equals the one used longest ago: none goes cold unseen.
+        used = self.ledger.used_slots(server.server_id)
+        # The grantor's count is exact, so load reports of servers are not
+        # used. Among equal servers the least recently used one is preferred,
+        # so that no server becomes cold for lack of requests.
         return (
-            server.failure_domain != ask.failure_domain,
-            used / self._limits[server.server_id],
-            self._turns.get(server.server_id, 0),
+            server.failure_domain != request.failure_domain,
+            used / self._slot_limits[server.server_id],
+            self._last_granted.get(server.server_id, 0),
         )
 
     def release(
-        self, release: messages.SlotRelease, now: float
+        self, message: messages.SlotRelease, now: float
     ) -> list[messages.Effect]:
-        """Take a slot or an ask back and serve who waits."""
-        self._heard[release.holder] = now
-        hold = self.ledger.release(release.holder, release.number)
-        if hold is None:
-            self._withdraw(release.holder, release.number)
+        """Free a slot or withdraw a request, then serve the queue."""
+        self._last_message_at[message.holder] = now
+        slot = self.ledger.release(message.holder, message.number)
+        if slot is None:
+            self._withdraw(message.holder, message.number)
             return []
-        self._health.record_result(hold.server_id, release.result, now)
+        self._health.record_result(slot.server_id, message.result, now)
         self._queue.freed(now)
-        return self.serve(now)
+        return self.serve_queue(now)
 
     def _withdraw(self, holder: messages.Member, number: int) -> None:
-        for ask in self._queue.items():
-            if ask.holder == holder and ask.number == number:
-                self._queue.remove(ask)
+        for request in self._queue.items():
+            if request.holder == holder and request.number == number:
+                self._queue.remove(request)
 
     def sync(
-        self, sync: messages.SlotSync, now: float
+        self, message: messages.SlotSync, now: float
     ) -> list[messages.Effect]:
-        """Free what a holder no longer uses: its releases were lost."""
-        self._heard[sync.holder] = now
-        kept = {hold.number for hold in sync.held_slots}.union(
-            sync.pending_numbers
+        """Free slots that a holder no longer uses; their releases were lost."""
+        self._last_message_at[message.holder] = now
+        kept_numbers = {slot.number for slot in message.held_slots}.union(
+            message.pending_numbers
         )
-        for number in self.ledger.numbers(sync.holder):
-            if number <= sync.highest_number and number not in kept:
-                self.ledger.release(sync.holder, number)
-        return self.serve(now)
+        for number in self.ledger.slot_numbers(message.holder):
+            if number <= message.highest_number and number not in kept_numbers:
+                self.ledger.release(message.holder, number)
+        return self.serve_queue(now)
 
-    def serve(self, now: float) -> list[messages.Effect]:
-        """Grant to who waits, and deny who has waited too long."""
+    def serve_queue(self, now: float) -> list[messages.Effect]:
+        """Grant slots to queued requests; deny those that waited too long."""
         effects: list[messages.Effect] = [
-            self._deny(ask, "waited-too-long", now)
-            for ask in self._queue.expired(now)
+            self._deny(request, "waited-too-long", now)
+            for request in self._queue.expired(now)
         ]
-        for ask in self._queue.items():
-            server = self._pick(ask)
+        for request in self._queue.items():
+            server = self._choose_server(request)
             if server is None:
-                if self._is_held(ask):
+                if self._is_constrained(request):
                     continue
                 break
-            self._queue.remove(ask)
-            effects += self._grant(ask, server, now)
+            self._queue.remove(request)
+            effects += self._grant(request, server, now)
         return effects
 
-    def forget_silent(self, now: float) -> None:
-        """Free what holders used that were silent for the longest hold."""
+    def expire_holders(self, now: float) -> None:
+        """Free the slots of holders without a message for `HOLD_MAX_S`."""
         for holder in self.ledger.holders():
-            heard = self._heard.get(holder, self._since)
-            if now - heard > HOLD_MAX_S:
-                self.ledger.forget(holder)
+            last_message_at = self._last_message_at.get(
+                holder, self._started_at
+            )
+            if now - last_message_at > HOLD_MAX_S:
+                self.ledger.release_all(holder)
 
     def deny_all(self, now: float) -> list[messages.Effect]:
-        """Deny all that wait: this entry grants no more."""
+        """Deny all queued requests, because this entry stops granting."""
         return [
-            self._deny(ask, "grantor-changed", now)
-            for ask in self._queue.items()
+            self._deny(request, "grantor-changed", now)
+            for request in self._queue.items()
         ]
 
-    def silent(self) -> Collection[messages.Member]:
-        """Return the members whose report is missing."""
-        return self.ledger.silent
+    def unreported_members(self) -> Collection[messages.Member]:
+        """Return the members whose report is still missing."""
+        return self.ledger.unreported
--- a/hyssopfold/core/balancing/holder.py
+++ b/hyssopfold/core/balancing/holder.py
@@ -1,4 +1,4 @@
-"""Asking for slots on behalf of callers, and holding them."""
+"""Requests for slots on behalf of callers, and the slots in use here."""
 
 from collections.abc import Callable
 import random
@@ -7,113 +7,123 @@
 from hyssopfold.core.balancing import messages
 from hyssopfold.core.membership import messages as membership
 
-# Longest that a request waits for a slot of one region.
-WAIT_S = 1.0
-# Longest that it waits where no grantor was heard lately.
-WAIT_UNHEARD_S = 0.4
-RESEND_S = 0.1
-# A grantor that was silent for this long is asked no more.
-HEARD_S = 1.0
+# Longest time that a request waits for a slot in one region.
+MAX_WAIT_S = 1.0
+# Longest time that it waits in a region without a recent grantor heartbeat.
+MAX_WAIT_NO_GRANTOR_S = 0.4
+RESEND_INTERVAL_S = 0.1
+# No requests are sent to a grantor without a heartbeat for this long.
+GRANTOR_TIMEOUT_S = 1.0
 RETRY_AFTER_S = 1.0
 
 
-class _Leader(NamedTuple):
-    beat: messages.GrantorHeartbeat
-    heard_at: float
+class _KnownGrantor(NamedTuple):
+    heartbeat: messages.GrantorHeartbeat
+    received_at: float
 
     @property
     def name(self) -> str:
-        return self.beat.grantor.name
+        return self.heartbeat.grantor.name
 
 
-class _Open(NamedTuple):
+class _PendingRequest(NamedTuple):
     ticket: int
     req: messages.Request
-    step: int
-    ask: messages.SlotRequest
-    until: float
+    region_index: int
+    slot_request: messages.SlotRequest
+    expires_at: float
     resend_at: float
 
 
-def _without(one: _Open, server_id: str) -> _Open:
-    """Return an open ask that does not want this server.
+def _excluding(pending: _PendingRequest, server_id: str) -> _PendingRequest:
+    """Return a pending request that excludes a server.
 
-    The grantor has not heard yet that the server leaves, and its free slot
-    would be the first to be granted again: an entry that is its own grantor
-    would go round without an end.
+    The grantor does not know yet that the server is leaving and would grant
+    its free slot again at once. An entry that is its own grantor would repeat
+    the request forever.
     """
-    avoid = (*one.req.avoid, server_id)
-    return one._replace(req=one.req._replace(avoid=avoid))
+    avoid = (*pending.req.avoid, server_id)
+    return pending._replace(req=pending.req._replace(avoid=avoid))
 
 
 class Holder:
-    """Ask grantors for slots and keep count of those in use here.
+    """One entry's slot requests and slots in use; part of a `node.Node`.
 
     Args:
-        me: This life of the entry.
-        failure_domain: Where it runs.
-        guess: Gives the entry to ask while no grantor was heard of.
-        is_fit: Tells whether a server may get new work, as known here.
-        rng: Source that spreads retry-after.
+        me: This incarnation of the entry.
+        failure_domain: Failure domain that the entry runs in.
+        likely_grantor: Returns the name of the entry to send requests to
+            while no grantor is known, or None.
+        accepts_work: Returns whether a server may get new requests, as far as
+            this entry knows.
+        rng: Random source that spreads retry-after times.
     """
 
     def __init__(
         self,
         me: messages.Member,
         failure_domain: str,
-        guess: Callable[[messages.PoolRegion], str | None],
-        is_fit: Callable[[membership.Server], bool],
+        likely_grantor: Callable[[messages.PoolRegion], str | None],
+        accepts_work: Callable[[membership.Server], bool],
         rng: random.Random,
     ) -> None:
         self._me = me
         self._failure_domain = failure_domain
-        self._guess = guess
-        self._is_fit = is_fit
+        self._likely_grantor = likely_grantor
+        self._accepts_work = accepts_work
         self._rng = rng
-        self._leaders: dict[messages.PoolRegion, _Leader] = {}
-        self._promised: dict[messages.PoolRegion, int] = {}
-        self._given: dict[messages.PoolRegion, int] = {}
-        self._alone: dict[messages.PoolRegion, int] = {}
-        self._open: dict[int, _Open] = {}
-        self._holds: dict[
+        self._grantors: dict[messages.PoolRegion, _KnownGrantor] = {}
+        self._promised_terms: dict[messages.PoolRegion, int] = {}
+        self._control_terms: dict[messages.PoolRegion, int] = {}
+        self._standalone_terms: dict[messages.PoolRegion, int] = {}
+        self._pending: dict[int, _PendingRequest] = {}
+        self._held_slots: dict[
             messages.PoolRegion, dict[int, messages.HeldSlot]
         ] = {}
         self._unsynced: set[messages.PoolRegion] = set()
-        self._number = 0
+        self._last_number = 0
 
     def acquire(
         self, ticket: int, req: messages.Request, now: float
     ) -> list[messages.Effect]:
-        """Ask for a slot; `ticket` names the request in the answer."""
-        return self._ask(ticket, req, 0, "no-region", RETRY_AFTER_S, now)
+        """Request a slot for a caller's request.
+
+        Args:
+            ticket: Identifies the request in `messages.Answer`.
+            req: The request.
+            now: Monotonic seconds.
+        """
+        return self._request_slot(
+            ticket, req, 0, "no-region", RETRY_AFTER_S, now
+        )
 
-    def _ask(
+    def _request_slot(
         self,
         ticket: int,
         req: messages.Request,
-        step: int,
+        region_index: int,
         reason: str,
         retry_after_s: float,
         now: float,
     ) -> list[messages.Effect]:
-        """Ask the next region of the request, or refuse when none is left."""
-        for at in range(step, len(req.regions)):
-            region = req.regions[at]
+        """Request a slot in the next region, or refuse if none is left."""
+        for index in range(region_index, len(req.regions)):
+            region = req.regions[index]
             key = messages.PoolRegion(req.pool, region.name)
-            target = self.leader(key, now)
-            limit = WAIT_S
-            if target is None:
-                target = self._guess(key)
-                limit = WAIT_UNHEARD_S
-            wait_s = min(limit, (req.deadline - now) / 2)
-            if target is None or wait_s <= 0:
+            recipient = self.grantor_name(key, now)
+            max_wait_s = MAX_WAIT_S
+            if recipient is None:
+                recipient = self._likely_grantor(key)
+                max_wait_s = MAX_WAIT_NO_GRANTOR_S
+            wait_s = min(max_wait_s, (req.deadline - now) / 2)
+            if recipient is None or wait_s <= 0:
                 reason = "no-grantor"
                 continue
-            self._number += 1
-            ask = messages.SlotRequest(
+            self._last_number += 1
+            slot_request = messages.SlotRequest(
                 key,
                 self._me,
-                self._number,
+                self._last_number,
                 req.priority,
                 wait_s,
                 region.moved,
@@ -121,218 +131,261 @@
                 self._failure_domain,
                 region.closed_domains,
             )
-            resend_at = now + RESEND_S
-            self._open[self._number] = _Open(
-                ticket, req, at, ask, now + wait_s, resend_at
+            resend_at = now + RESEND_INTERVAL_S
+            self._pending[self._last_number] = _PendingRequest(
+                ticket, req, index, slot_request, now + wait_s, resend_at
             )
-            return [messages.Send(target, ask)]
-        spread = retry_after_s * self._rng.uniform(1.0, 2.0)
-        return [messages.Answer(ticket, messages.Refused(reason, spread))]
+            return [messages.Send(recipient, slot_request)]
+        jittered_s = retry_after_s * self._rng.uniform(1.0, 2.0)
+        return [messages.Answer(ticket, messages.Refused(reason, jittered_s))]
 
-    def leader(self, key: messages.PoolRegion, now: float) -> str | None:
-        """Return the grantor that was heard of lately."""
-        beat = self.last_beat(key, now)
-        return beat.grantor.name if beat is not None else None
+    def grantor_name(self, key: messages.PoolRegion, now: float) -> str | None:
+        """Return the name of the current grantor, if there is one."""
+        heartbeat = self.last_heartbeat(key, now)
+        return heartbeat.grantor.name if heartbeat is not None else None
 
-    def last_beat(
+    def last_heartbeat(
         self, key: messages.PoolRegion, now: float
     ) -> messages.GrantorHeartbeat | None:
-        """Return the last word of the grantor that was heard of lately."""
-        leader = self._leaders.get(key)
-        if leader is None or now - leader.heard_at > HEARD_S:
+        """Return the last heartbeat of the current grantor, if there is one."""
+        grantor = self._grantors.get(key)
+        if grantor is None or now - grantor.received_at > GRANTOR_TIMEOUT_S:
             return None
-        if leader.beat.term < self._promised.get(key, 0):
-            # What is held was reported to a newer one. A release that still
-            # went to the old one would free the slot at both, and both
+        if grantor.heartbeat.term < self._promised_terms.get(key, 0):
+            # The slots in use were reported to a newer grantor. A release
+            # sent to the old grantor would free the slot at both, and both
             # would grant it.
             return None
-        return leader.beat
+        return grantor.heartbeat
 
-    def term(self, key: messages.PoolRegion) -> int:
-        """Return the highest term promised or heard of."""
-        leader = self._leaders.get(key)
-        heard = leader.beat.term if leader is not None else 0
-        return max(self._promised.get(key, 0), heard)
+    def highest_term(self, key: messages.PoolRegion) -> int:
+        """Return the highest term that was promised or received."""
+        grantor = self._grantors.get(key)
+        heartbeat_term = grantor.heartbeat.term if grantor is not None else 0
+        return max(self._promised_terms.get(key, 0), heartbeat_term)
 
     def control_term(self, key: messages.PoolRegion) -> int:
-        """Return the highest term heard of that control had given."""
-        return self._given.get(key, 0)
+        """Return the highest received term that control granted."""
+        return self._control_terms.get(key, 0)
 
     def standalone_term(self, key: messages.PoolRegion) -> int:
-        """Return the highest term heard of that had no control behind it."""
-        return self._alone.get(key, 0)
+        """Return the highest received term of a standalone grantor."""
+        return self._standalone_terms.get(key, 0)
 
-    def lost_leader(self, key: messages.PoolRegion, name: str) -> None:
-        """Note that a grantor resigned."""
-        leader = self._leaders.get(key)
-        if leader is not None and leader.name == name:
-            del self._leaders[key]
+    def drop_grantor(self, key: messages.PoolRegion, name: str) -> None:
+        """Remove a grantor that resigned or lost its term."""
+        grantor = self._grantors.get(key)
+        if grantor is not None and grantor.name == name:
+            del self._grantors[key]
 
     def promise(
         self, key: messages.PoolRegion, term: int
     ) -> tuple[messages.HeldSlot, ...]:
-        """Refuse grants of older terms from now on; return what is held."""
-        self._promised[key] = max(self._promised.get(key, 0), term)
-        return tuple(self._holds.get(key, {}).values())
+        """Refuse grants of older terms from now on; return the slots in use."""
+        self._promised_terms[key] = max(self._promised_terms.get(key, 0), term)
+        return tuple(self._held_slots.get(key, {}).values())
 
-    def beat(
-        self, beat: messages.GrantorHeartbeat, now: float
+    def handle_heartbeat(
+        self, heartbeat: messages.GrantorHeartbeat, now: float
     ) -> list[messages.Effect]:
-        """Note who grants; tell it what is held here."""
-        key = beat.key
-        if beat.term < self.term(key):
+        """Record the grantor; send it the slots in use and pending requests."""
+        key = heartbeat.key
+        if heartbeat.term < self.highest_term(key):
             return []
-        leader = _Leader(beat, now)
-        self._leaders[key] = leader
-        terms = self._alone if beat.standalone else self._given
-        terms[key] = beat.term
-        held = self._holds.get(key, {})
-        asks = tuple(
-            number for number, one in self._open.items() if one.ask.key == key
+        grantor = _KnownGrantor(heartbeat, now)
+        self._grantors[key] = grantor
+        terms = (
+            self._standalone_terms
+            if heartbeat.standalone
+            else self._control_terms
+        )
+        terms[key] = heartbeat.term
+        held_slots = self._held_slots.get(key, {})
+        numbers = tuple(
+            number
+            for number, pending in self._pending.items()
+            if pending.slot_request.key == key
         )
-        if not held and not asks and key not in self._unsynced:
+        if not held_slots and not numbers and key not in self._unsynced:
             return []
-        # Once more after the last, for a release that was lost.
+        # One more sync is sent after the last slot was released, in case the
+        # release was lost.
         self._unsynced.discard(key)
-        if held or asks:
+        if held_slots or numbers:
             self._unsynced.add(key)
         sync = messages.SlotSync(
-            key, self._me, self._number, tuple(held.values()), asks
+            key,
+            self._me,
+            self._last_number,
+            tuple(held_slots.values()),
+            numbers,
         )
-        return [messages.Send(leader.name, sync)]
+        return [messages.Send(grantor.name, sync)]
 
-    def granted(
+    def handle_granted(
         self, sender: str, granted: messages.SlotGranted, now: float
     ) -> list[messages.Effect]:
-        """Use a slot, or give it back when no one waits for it."""
+        """Use a granted slot, or release it if no request waits for it."""
         if granted.holder != self._me:
-            # Meant for an earlier life, whose numbers were the same.
+            # Addressed to an earlier incarnation, which used the same numbers.
             return []
         key, number = granted.key, granted.number
-        if number in self._holds.get(key, {}):
+        if number in self._held_slots.get(key, {}):
             return []
-        if granted.term < self._promised.get(key, 0):
-            # A newer grantor counts this slot as free already.
+        if granted.term < self._promised_terms.get(key, 0):
+            # A newer grantor already counts this slot as free.
             return []
-        one = self._open.pop(number, None)
-        if one is None:
-            return [self._give_back(sender, key, number)]
-        if not self._is_fit(granted.server):
-            effects = [self._give_back(sender, key, number)]
-            one = _without(one, granted.server.server_id)
-            return effects + self._again(one, "server-left", now)
-        self._promised[key] = granted.term
+        pending = self._pending.pop(number, None)
+        if pending is None:
+            return [self._return_slot(sender, key, number)]
+        if not self._accepts_work(granted.server):
+            effects = [self._return_slot(sender, key, number)]
+            pending = _excluding(pending, granted.server.server_id)
+            return effects + self._retry_region(pending, "server-left", now)
+        self._promised_terms[key] = granted.term
         server = granted.server
-        hold = messages.HeldSlot(number, server.server_id, server.incarnation)
-        self._holds.setdefault(key, {})[number] = hold
-        reason = "moved" if one.ask.moved else "home"
+        slot = messages.HeldSlot(number, server.server_id, server.incarnation)
+        self._held_slots.setdefault(key, {})[number] = slot
+        reason = "moved" if pending.slot_request.moved else "home"
         grant = messages.Grant(server, reason, key, number)
-        return [messages.Answer(one.ticket, grant)]
+        return [messages.Answer(pending.ticket, grant)]
 
-    def _again(
-        self, one: _Open, reason: str, now: float
+    def _retry_region(
+        self, pending: _PendingRequest, reason: str, now: float
     ) -> list[messages.Effect]:
-        step = one.step
-        return self._ask(one.ticket, one.req, step, reason, RETRY_AFTER_S, now)
+        region_index = pending.region_index
+        return self._request_slot(
+            pending.ticket,
+            pending.req,
+            region_index,
+            reason,
+            RETRY_AFTER_S,
+            now,
+        )
 
-    def _give_back(
+    def _return_slot(
         self, to: str, key: messages.PoolRegion, number: int
     ) -> messages.Effect:
-        done = messages.AttemptResult("cancelled", 0.0)
-        release = messages.SlotRelease(key, self._me, number, done)
+        result = messages.AttemptResult("cancelled", 0.0)
+        release = messages.SlotRelease(key, self._me, number, result)
         return messages.Send(to, release)
 
-    def denied(
+    def handle_denied(
         self, denied: messages.SlotDenied, now: float
     ) -> list[messages.Effect]:
-        """Try the next region, or refuse at once."""
+        """Request a slot in the next region, or refuse at once."""
         if denied.holder != self._me:
             return []
-        one = self._open.pop(denied.number, None)
-        if one is None:
+        pending = self._pending.pop(denied.number, None)
+        if pending is None:
             return []
-        return self._ask(
-            one.ticket,
-            one.req,
-            one.step + 1,
+        return self._request_slot(
+            pending.ticket,
+            pending.req,
+            pending.region_index + 1,
             denied.reason,
             denied.retry_after_s,
             now,
         )
 
     def release(
-        self, grant: messages.Grant, done: messages.AttemptResult, now: float
+        self, grant: messages.Grant, result: messages.AttemptResult, now: float
     ) -> list[messages.Effect]:
-        """Give a slot back."""
+        """Release a slot.
+
+        Args:
+            grant: The grant of the slot.
+            result: How the attempt on it ended.
+            now: Monotonic seconds.
+
+        Raises:
+            AssertionError: when the slot is not in use.
+        """
         key = grant.key
         if key is None:
             return []
-        hold = self._holds.get(key, {}).pop(grant.number, None)
-        assert hold is not None, grant
+        slot = self._held_slots.get(key, {}).pop(grant.number, None)
+        assert slot is not None, grant
         self._unsynced.add(key)
-        leader = self.leader(key, now)
-        if leader is None:
+        grantor_name = self.grantor_name(key, now)
+        if grantor_name is None:
             return []
-        release = messages.SlotRelease(key, self._me, grant.number, done)
-        return [messages.Send(leader, release)]
+        release = messages.SlotRelease(key, self._me, grant.number, result)
+        return [messages.Send(grantor_name, release)]
 
     def cancel(self, ticket: int, now: float) -> list[messages.Effect]:
-        """Withdraw the ask of a request that waits no longer."""
-        for number, one in list(self._open.items()):
-            if one.ticket == ticket:
-                del self._open[number]
-                return self._withdraw(one, now)
+        """Withdraw the slot request of a request that was cancelled."""
+        for number, pending in list(self._pending.items()):
+            if pending.ticket == ticket:
+                del self._pending[number]
+                return self._withdraw(pending, now)
         return []
 
-    def _withdraw(self, one: _Open, now: float) -> list[messages.Effect]:
-        key = one.ask.key
+    def _withdraw(
+        self, pending: _PendingRequest, now: float
+    ) -> list[messages.Effect]:
+        key = pending.slot_request.key
         self._unsynced.add(key)
-        leader = self.leader(key, now)
-        if leader is None:
+        grantor_name = self.grantor_name(key, now)
+        if grantor_name is None:
             return []
-        return [self._give_back(leader, key, one.ask.number)]
+        return [
+            self._return_slot(grantor_name, key, pending.slot_request.number)
+        ]
 
     def tick(self, now: float) -> list[messages.Effect]:
-        """Send asks again that were not answered; give up those too late."""
+        """Resend unanswered slot requests; give up those that expired."""
         effects: list[messages.Effect] = []
-        for number, one in list(self._open.items()):
-            if now >= one.until:
-                del self._open[number]
-                effects += self._withdraw(one, now)
-                effects += self._next(one, now)
-            elif now >= one.resend_at:
-                self._open[number] = one._replace(resend_at=now + RESEND_S)
-                key = one.ask.key
-                target = self.leader(key, now) or self._guess(key)
-                if target is not None:
-                    effects.append(messages.Send(target, one.ask))
+        for number, pending in list(self._pending.items()):
+            if now >= pending.expires_at:
+                del self._pending[number]
+                effects += self._withdraw(pending, now)
+                effects += self._try_next_region(pending, now)
+            elif now >= pending.resend_at:
+                self._pending[number] = pending._replace(
+                    resend_at=now + RESEND_INTERVAL_S
+                )
+                key = pending.slot_request.key
+                recipient = self.grantor_name(key, now) or self._likely_grantor(
+                    key
+                )
+                if recipient is not None:
+                    effects.append(
+                        messages.Send(recipient, pending.slot_request)
+                    )
         return effects
 
-    def _next(self, one: _Open, now: float) -> list[messages.Effect]:
-        heard = self.leader(one.ask.key, now) is not None
-        return self._ask(
-            one.ticket,
-            one.req,
-            one.step + 1,
-            "waited-too-long" if heard else "no-answer",
+    def _try_next_region(
+        self, pending: _PendingRequest, now: float
+    ) -> list[messages.Effect]:
+        grantor_is_known = (
+            self.grantor_name(pending.slot_request.key, now) is not None
+        )
+        return self._request_slot(
+            pending.ticket,
+            pending.req,
+            pending.region_index + 1,
+            "waited-too-long" if grantor_is_known else "no-answer",
             RETRY_AFTER_S,
             now,
         )
 
-    def open_numbers(self) -> list[int]:
-        """Return the numbers of the asks that wait for an answer."""
-        return list(self._open)
+    def pending_numbers(self) -> list[int]:
+        """Return the numbers of the unanswered slot requests."""
+        return list(self._pending)
 
     def in_flight(self) -> dict[str, int]:
-        """Return the slots in use here by server."""
+        """Return the number of slots in use here by server id."""
         counts: dict[str, int] = {}
-        for holds in self._holds.values():
-            for hold in holds.values():
-                counts[hold.server_id] = counts.get(hold.server_id, 0) + 1
+        for slots in self._held_slots.values():
+            for slot in slots.values():
+                counts[slot.server_id] = counts.get(slot.server_id, 0) + 1
         return counts
 
-    def holds(self) -> list[messages.HeldSlot]:
+    def held_slots(self) -> list[messages.HeldSlot]:
         """Return all slots in use here."""
         return [
-            hold for holds in self._holds.values() for hold in holds.values()
+            slot
+            for slots in self._held_slots.values()
+            for slot in slots.values()
         ]
--- a/hyssopfold/core/balancing/node.py
+++ b/hyssopfold/core/balancing/node.py
@@ -1,4 +1,4 @@
-"""Placement at one entry: holder, voter and grantor in one state machine."""
+"""Placement at one entry: holder, voter and grantors in one state machine."""
 
 from collections.abc import Collection
 from collections.abc import Mapping
@@ -19,29 +19,32 @@
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import messages as membership
 
-BEAT_S = 0.3
-# With many to tell, half as often: what control may send is limited.
-BEAT_MANY_S = 0.5
-MANY = 20
+HEARTBEAT_INTERVAL_S = 0.3
+# Interval with more than `LARGE_MEMBER_COUNT` recipients, because the bandwidth
+# of control traffic is limited.
+LARGE_HEARTBEAT_INTERVAL_S = 0.5
+LARGE_MEMBER_COUNT = 20
 HALF_TICK_S = 0.05
-# How much later each next candidate claims a term that no one holds.
-STAGGER_S = 0.3
-# A member that neither holds slots nor was heard of so long is taken off.
-ABSENT_S = 60.0
-# A grantor uses at most one in so many slots of a server for its own callers
-# while there are other members. When it falls silent, no more are kept back.
-OWN_SHARE = 3
+# Delay before the next candidate in rank claims a vacant term.
+CAMPAIGN_STAGGER_S = 0.3
+# A member that uses no slots is removed from the list of members when it was
+# absent from the directory for this long.
+ABSENT_MEMBER_TIMEOUT_S = 60.0
+# While there are other members, a grantor uses at most this fraction (1 / n) of
+# a server's slots for its own callers. When the grantor fails, no more slots
+# than these are withheld.
+OWN_SHARE_DIVISOR = 3
 
 
 class Acquire(NamedTuple):
-    """Event: a request wants a slot; `ticket` names it in the answer."""
+    """Event: a request needs a slot; `ticket` identifies it in the answer."""
 
     ticket: int
     req: messages.Request
 
 
 class Cancel(NamedTuple):
-    """Event: the request behind `ticket` waits no longer."""
+    """Event: the request with this `ticket` no longer waits."""
 
     ticket: int
 
@@ -50,29 +53,29 @@
     """Event: an attempt on a granted slot ended."""
 
     grant: messages.Grant
-    done: messages.AttemptResult
+    result: messages.AttemptResult
 
 
 class Received(NamedTuple):
-    """Event: a message came from another instance, or from this one."""
+    """Event: a message arrived from another instance, or from this one."""
 
     sender: str
     message: messages.Message
 
 
 class Tick(NamedTuple):
-    """Event: time passed; due about every 0.1 s."""
+    """Event: time has passed; due about every 0.1 s."""
 
 
 class Leave(NamedTuple):
-    """Event: this entry stops; it grants no more."""
+    """Event: this entry is stopping and must grant no more slots."""
 
 
 Event = Acquire | Cancel | Release | Received | Tick | Leave
 
 
 class Config(NamedTuple):
-    """What a node is: its life, its place, and who votes."""
+    """A node's incarnation, its location, and the control instances."""
 
     me: messages.Member
     region: str
@@ -80,94 +83,101 @@
     control: tuple[str, ...]
 
 
-class _Seat(NamedTuple):
-    """A key of this region, as this entry sees it."""
+class _KeyState(NamedTuple):
+    """The state of one pool in this region, as this entry sees it."""
 
     election: election.Election
     health: health.HealthTracker
-    unheard_since: float
+    no_grantor_since: float
 
 
 class Node:
-    """Place requests: handle events, return effects.
+    """The placement state machine of one entry: takes events, returns effects.
 
     Args:
-        cfg: Who and where this entry is.
-        known: Directory of servers and entries, kept by membership.
-        rng: Source of spread.
-        now: Monotonic seconds of its start.
+        cfg: Identity and location of this entry, and the control instances.
+        instance_directory: Directory of servers and instances, updated by
+            membership.
+        rng: Random source for delays and retry-after times.
+        now: Monotonic seconds of the start of this entry.
     """
 
     def __init__(
         self,
         cfg: Config,
-        known: directory.Directory,
+        instance_directory: directory.Directory,
         rng: random.Random,
         now: float,
     ) -> None:
         self._cfg = cfg
-        self._known = known
+        self._directory = instance_directory
         self._rng = rng
         self._started = now
         self._leaving = False
         self._pools: Mapping[str, tables.Pool] = {}
-        self._seats: dict[messages.PoolRegion, _Seat] = {}
+        self._states: dict[messages.PoolRegion, _KeyState] = {}
         self._grantors: dict[messages.PoolRegion, grantor.Grantor] = {}
-        self._wanted: dict[messages.PoolRegion, set[messages.Member]] = {}
-        self._beat_at: dict[messages.PoolRegion, float] = {}
-        self._present: dict[str, float] = {}
+        self._pending_members: dict[
+            messages.PoolRegion, set[messages.Member]
+        ] = {}
+        self._next_heartbeat_at: dict[messages.PoolRegion, float] = {}
+        self._last_listed_at: dict[str, float] = {}
         self.voter = voter.Voter(cfg.me, -math.inf, 0.0)
         self.holder = holder.Holder(
-            cfg.me, cfg.failure_domain, self._first_candidate, self._fit, rng
+            cfg.me,
+            cfg.failure_domain,
+            self._first_candidate,
+            self._accepts_work,
+            rng,
         )
 
     def set_pools(self, pools: Collection[tables.Pool]) -> None:
-        """Put other rows of pools in force."""
+        """Replace the rows of the pools."""
         self._pools = {pool.name: pool for pool in pools}
 
     def handle(self, event: Event, now: float) -> list[messages.Effect]:
-        """Return the effects of an event; messages to itself are carried."""
+        """Return the effects of an event; messages to itself are delivered."""
         effects = _handle(event, self, now)
-        out: list[messages.Effect] = []
+        outgoing: list[messages.Effect] = []
         while effects:
             effect = effects.pop(0)
             if _is_to(effect, self._cfg.me.name):
                 received = Received(effect.to, effect.message)
                 effects += _handle(received, self, now)
             else:
-                out.append(effect)
-        return out
+                outgoing.append(effect)
+        return outgoing
 
-    def granting(self, key: messages.PoolRegion) -> grantor.Grantor | None:
-        """Return the grantor of a key, while this entry is it."""
-        seat = self._seats.get(key)
-        if seat is None or not seat.election.leading:
+    def own_grantor(self, key: messages.PoolRegion) -> grantor.Grantor | None:
+        """Return the grantor of a pool in a region if it is this entry."""
+        state = self._states.get(key)
+        if state is None or not state.election.leading:
             return None
         return self._grantors.get(key)
 
-    def leading(self) -> list[messages.PoolRegion]:
-        """Return the keys that this entry grants."""
+    def granted_keys(self) -> list[messages.PoolRegion]:
+        """Return the pools and regions whose slots this entry grants."""
         return [
-            key for key, seat in self._seats.items() if seat.election.leading
+            key for key, state in self._states.items() if state.election.leading
         ]
 
-    def _fit(self, server: membership.Server) -> bool:
-        held = self._known.servers.get(server.server_id)
-        if held is None or held.incarnation < server.incarnation:
+    def _accepts_work(self, server: membership.Server) -> bool:
+        record = self._directory.servers.get(server.server_id)
+        if record is None or record.incarnation < server.incarnation:
             return True
-        if held.incarnation > server.incarnation:
+        if record.incarnation > server.incarnation:
             return False
-        return held.state == "ready"
+        return record.state == "ready"
 
-    def _nearby(self, region: str) -> list[str]:
+    def _region_entries(self, region: str) -> list[str]:
         return [
             entry.name
-            for entry in self._known.ready_entries()
+            for entry in self._directory.ready_entries()
             if entry.region == region
         ]
 
     def _candidates(self, key: messages.PoolRegion) -> list[str]:
-        names = set(self._nearby(key.region))
+        names = set(self._region_entries(key.region))
         if key.region == self._cfg.region and not self._leaving:
             names.add(self._cfg.me.name)
         return sorted(names, key=lambda name: _weight(key, name))
@@ -177,9 +187,9 @@
         return candidates[0] if candidates else None
 
     def tick(self, now: float) -> list[messages.Effect]:
-        """Claim, renew, beat, serve queues and send asks again."""
-        for entry in self._known.instances.words():
-            self._present[entry.name] = now
+        """Claim and renew terms, send heartbeats, serve queues and resend."""
+        for entry in self._directory.instances.words():
+            self._last_listed_at[entry.name] = now
         effects = self.holder.tick(now)
         for key, servers in self._servers_by_key().items():
             effects += self._tick_key(key, servers, now)
@@ -188,27 +198,27 @@
     def _servers_by_key(
         self,
     ) -> dict[messages.PoolRegion, list[membership.Server]]:
-        found: dict[messages.PoolRegion, list[membership.Server]] = {}
+        servers_by_key: dict[messages.PoolRegion, list[membership.Server]] = {}
         # A pool that lost all its servers keeps its grantor.
-        for key in self._seats:
+        for key in self._states:
             if key.pool in self._pools:
-                found[key] = []
-        for server in self._known.servers.words():
+                servers_by_key[key] = []
+        for server in self._directory.servers.words():
             if server.region != self._cfg.region or server.state != "ready":
                 continue
             if server.pool in self._pools:
                 key = messages.PoolRegion(server.pool, server.region)
-                found.setdefault(key, []).append(server)
-        return found
+                servers_by_key.setdefault(key, []).append(server)
+        return servers_by_key
 
-    def _seat(self, key: messages.PoolRegion, now: float) -> _Seat:
-        if key not in self._seats:
-            self._seats[key] = _Seat(
+    def _state(self, key: messages.PoolRegion, now: float) -> _KeyState:
+        if key not in self._states:
+            self._states[key] = _KeyState(
                 election.Election(key, self._cfg.me, self._cfg.control),
                 health.HealthTracker(self._started),
                 now,
             )
-        return self._seats[key]
+        return self._states[key]
 
     def _tick_key(
         self,
@@ -216,213 +226,269 @@
         servers: list[membership.Server],
         now: float,
     ) -> list[messages.Effect]:
-        seat = self._seat(key, now)
-        if seat.election.idle:
-            return self._maybe_campaign(key, seat, now)
-        granting = self.granting(key)
-        silent = {one.name for one in granting.silent()} if granting else set()
-        silent.discard(election.UNKNOWN.name)
-        nearby = self._nearby(key.region)
-        effects, won = seat.election.tick(nearby, silent, now)
+        state = self._state(key, now)
+        if state.election.idle:
+            return self._maybe_campaign(key, state, now)
+        own_grantor = self.own_grantor(key)
+        unreported = (
+            {member.name for member in own_grantor.unreported_members()}
+            if own_grantor
+            else set()
+        )
+        unreported.discard(election.UNKNOWN_MEMBER.name)
+        region_entries = self._region_entries(key.region)
+        effects, won = state.election.tick(region_entries, unreported, now)
         if won is not None:
-            effects += self._begin(key, won, now)
-        granting = self.granting(key)
-        if granting is None:
+            effects += self._start_term(key, won, now)
+        own_grantor = self.own_grantor(key)
+        if own_grantor is None:
             return effects
-        pool = grantor.Pool(self._pools[key.pool], tuple(servers))
-        granting.refresh(pool, now)
-        granting.me = self._cfg.me
-        granting.forget_silent(now)
-        self._free_ended(granting)
-        self._propose(key, seat, granting, now)
-        granting.own_limit = seat.election.own_allowed
-        return effects + granting.serve(now) + self._beat(key, now)
+        pool = grantor.PoolServers(self._pools[key.pool], tuple(servers))
+        own_grantor.refresh(pool, now)
+        own_grantor.me = self._cfg.me
+        own_grantor.expire_holders(now)
+        self._release_ended(own_grantor)
+        self._propose(key, state, own_grantor, now)
+        own_grantor.own_limit = state.election.effective_own_limit
+        return (
+            effects
+            + own_grantor.serve_queue(now)
+            + self._send_heartbeats(key, now)
+        )
 
     def _maybe_campaign(
-        self, key: messages.PoolRegion, seat: _Seat, now: float
+        self, key: messages.PoolRegion, state: _KeyState, now: float
     ) -> list[messages.Effect]:
-        if self.holder.leader(key, now) is not None or self._leaving:
-            self._seats[key] = seat._replace(unheard_since=now)
+        if self.holder.grantor_name(key, now) is not None or self._leaving:
+            self._states[key] = state._replace(no_grantor_since=now)
             return []
         candidates = self._candidates(key)
         rank = candidates.index(self._cfg.me.name)
-        # The first one claims at once: control refuses while another's term
-        # runs. The others wait, lest all claim at the same time.
-        if now - seat.unheard_since < rank * STAGGER_S:
+        # The first candidate claims at once: control refuses the claim while
+        # another entry's term is valid. The others wait, so that not all of
+        # them claim at the same time.
+        if now - state.no_grantor_since < rank * CAMPAIGN_STAGGER_S:
             return []
         if self._rng.random() < 0.3:
             return []
-        holding = self.holder
-        return seat.election.campaign(
-            holding.term(key), holding.control_term(key), now
+        slot_holder = self.holder
+        return state.election.campaign(
+            slot_holder.highest_term(key), slot_holder.control_term(key), now
         )
 
-    def _begin(
-        self, key: messages.PoolRegion, won: election.Won, now: float
+    def _start_term(
+        self, key: messages.PoolRegion, won: election.WonTerm, now: float
     ) -> list[messages.Effect]:
-        seat = self._seats[key]
+        state = self._states[key]
         self._grantors[key] = grantor.Grantor(
-            won, key, seat.health, self._rng, now
+            won, key, state.health, self._rng, now
         )
-        self._beat_at[key] = 0.0
+        self._next_heartbeat_at[key] = 0.0
         fields = (
             ("pool", key.pool),
             ("region", key.region),
             ("term", won.term),
             ("reports", len(won.reports)),
-            ("silent", len(won.silent)),
-            ("alone", seat.election.alone),
+            ("silent", len(won.unreported)),
+            ("alone", state.election.standalone),
         )
         return [messages.LogDecision("grantor-elected", fields)]
 
-    def _free_ended(self, granting: grantor.Grantor) -> None:
-        for one in granting.ledger.holders():
-            word = self._known.instances.get(one.name)
-            if word is not None:
-                granting.ledger.end(one.name, word.incarnation)
+    def _release_ended(self, own_grantor: grantor.Grantor) -> None:
+        for member in own_grantor.ledger.holders():
+            record = self._directory.instances.get(member.name)
+            if record is not None:
+                own_grantor.ledger.end_incarnations(
+                    member.name, record.incarnation
+                )
 
     def _propose(
         self,
         key: messages.PoolRegion,
-        seat: _Seat,
-        granting: grantor.Grantor,
+        state: _KeyState,
+        own_grantor: grantor.Grantor,
         now: float,
     ) -> None:
-        """Propose who may hold slots: who is there, asked or still holds."""
-        nearby = {
+        """Propose the members that may hold slots.
+
+        These are the ready entries of the region, the entries that requested
+        or use slots, and members that were present recently.
+        """
+        ready_members = {
             messages.Member(entry.name, entry.incarnation)
-            for entry in self._known.ready_entries()
+            for entry in self._directory.ready_entries()
             if entry.region == key.region
         }
-        asked = self._wanted.pop(key, set())
-        holding = granting.ledger.holders() - {election.UNKNOWN}
-        kept = {
-            one
-            for one in seat.election.members
-            if now - self._present.get(one.name, self._started) < ABSENT_S
-            and self._is_life(one)
+        requesters = self._pending_members.pop(key, set())
+        slot_holders = own_grantor.ledger.holders() - {election.UNKNOWN_MEMBER}
+        recent_members = {
+            member
+            for member in state.election.members
+            if now - self._last_listed_at.get(member.name, self._started)
+            < ABSENT_MEMBER_TIMEOUT_S
+            and self._is_current(member)
         }
-        members = nearby | asked | holding | kept | {self._cfg.me}
+        members = (
+            ready_members
+            | requesters
+            | slot_holders
+            | recent_members
+            | {self._cfg.me}
+        )
         row = self._pools[key.pool]
-        quota = max(1, row.slots // OWN_SHARE)
-        wanted = quota if len(members) > 1 else row.slots
-        own_limit = max(wanted, granting.ledger.most_used_by(self._cfg.me))
-        seat.election.own_quota = quota
-        seat.election.propose(tuple(sorted(members)), own_limit)
-
-    def _is_life(self, one: messages.Member) -> bool:
-        """Return whether no newer life of a member is known."""
-        word = self._known.instances.get(one.name)
-        return word is None or word.incarnation <= one.incarnation
-
-    def _beat(
+        quota = max(1, row.slots // OWN_SHARE_DIVISOR)
+        intended_limit = quota if len(members) > 1 else row.slots
+        own_limit = max(
+            intended_limit, own_grantor.ledger.max_slots_used_by(self._cfg.me)
+        )
+        state.election.own_quota = quota
+        state.election.propose(tuple(sorted(members)), own_limit)
+
+    def _is_current(self, member: messages.Member) -> bool:
+        """Return whether no newer incarnation of a member is known."""
+        record = self._directory.instances.get(member.name)
+        return record is None or record.incarnation <= member.incarnation
+
+    def _send_heartbeats(
         self, key: messages.PoolRegion, now: float
     ) -> list[messages.Effect]:
-        if now < self._beat_at.get(key, 0.0):
+        if now < self._next_heartbeat_at.get(key, 0.0):
             return []
-        held = self._seats[key].election
-        beat = messages.GrantorHeartbeat(
-            key, held.term, self._cfg.me, held.alone
+        current_election = self._states[key].election
+        heartbeat = messages.GrantorHeartbeat(
+            key,
+            current_election.term,
+            self._cfg.me,
+            current_election.standalone,
         )
-        members = {one.name for one in held.members}
-        names = sorted(members.union(self._nearby(key.region)))
-        period = BEAT_MANY_S if len(names) > MANY else BEAT_S
-        # Ticks come a little early or late; half of one decides.
-        self._beat_at[key] = now + period - HALF_TICK_S
-        return [messages.Send(name, beat) for name in names]
-
-    def take_claim(
+        members = {member.name for member in current_election.members}
+        names = sorted(members.union(self._region_entries(key.region)))
+        interval_s = (
+            LARGE_HEARTBEAT_INTERVAL_S
+            if len(names) > LARGE_MEMBER_COUNT
+            else HEARTBEAT_INTERVAL_S
+        )
+        # Ticks come slightly early or late: a heartbeat is due on the tick
+        # nearest to the interval's end.
+        self._next_heartbeat_at[key] = now + interval_s - HALF_TICK_S
+        return [messages.Send(name, heartbeat) for name in names]
+
+    def handle_claim(
         self, claim: messages.Claim, now: float
     ) -> list[messages.Effect]:
-        """Vote; with a promise goes the report of what is held here."""
+        """Vote on a claim; a granted vote reports the slots in use here."""
         vote = self.voter.vote(claim, now)
         if vote.granted:
-            holds = self.holder.promise(claim.key, claim.term)
-            given = self.holder.control_term(claim.key)
-            alone = self.holder.standalone_term(claim.key)
+            held_slots = self.holder.promise(claim.key, claim.term)
+            control_term = self.holder.control_term(claim.key)
+            standalone_term = self.holder.standalone_term(claim.key)
             vote = vote._replace(
-                held_slots=holds, control_term=given, standalone_term=alone
+                held_slots=held_slots,
+                control_term=control_term,
+                standalone_term=standalone_term,
             )
-        seat = self._seats.get(claim.key)
-        if seat is not None:
-            self._heard_term(claim.key, seat, vote.promised)
+        state = self._states.get(claim.key)
+        if state is not None:
+            self._observe_term(claim.key, state, vote.promised)
         return [messages.Send(claim.candidate.name, vote)]
 
-    def _heard_term(
-        self, key: messages.PoolRegion, seat: _Seat, term: int
+    def _observe_term(
+        self, key: messages.PoolRegion, state: _KeyState, term: int
     ) -> None:
-        if seat.election.heard_term(term):
-            self.holder.lost_leader(key, self._cfg.me.name)
+        if state.election.observe_term(term):
+            self.holder.drop_grantor(key, self._cfg.me.name)
 
-    def take_vote(
+    def handle_vote(
         self, vote: messages.Vote, now: float
     ) -> list[messages.Effect]:
-        """Count a vote, and take in a report that was missing."""
-        seat = self._seats.get(vote.key)
-        if seat is None:
+        """Count a vote, and the slots of a report that was missing."""
+        state = self._states.get(vote.key)
+        if state is None:
             return []
-        self._heard_term(vote.key, seat, vote.promised)
-        nearby = self._nearby(vote.key.region)
-        effects, won = seat.election.take(vote, nearby, now)
+        self._observe_term(vote.key, state, vote.promised)
+        region_entries = self._region_entries(vote.key.region)
+        effects, won = state.election.record_vote(vote, region_entries, now)
         if won is not None:
-            return effects + self._begin(vote.key, won, now)
-        granting = self.granting(vote.key)
-        mine = vote.candidate == self._cfg.me
-        current = mine and vote.granted and vote.term == seat.election.term
-        if granting is not None and current and vote.held_slots is not None:
-            granting.ledger.report(vote.voter, vote.held_slots)
-            effects += granting.serve(now)
+            return effects + self._start_term(vote.key, won, now)
+        own_grantor = self.own_grantor(vote.key)
+        is_own = vote.candidate == self._cfg.me
+        is_current = (
+            is_own and vote.granted and vote.term == state.election.term
+        )
+        if (
+            own_grantor is not None
+            and is_current
+            and vote.held_slots is not None
+        ):
+            own_grantor.ledger.add_report(vote.voter, vote.held_slots)
+            effects += own_grantor.serve_queue(now)
         return effects
 
-    def take_beat(
-        self, beat: messages.GrantorHeartbeat, sender: str, now: float
+    def handle_heartbeat(
+        self, heartbeat: messages.GrantorHeartbeat, sender: str, now: float
     ) -> list[messages.Effect]:
-        """Note who grants; tell one that was replaced of the newer term."""
-        seat = self._seats.get(beat.key)
-        if seat is not None:
-            self._heard_term(beat.key, seat, beat.term)
-        if beat.term < self.holder.term(beat.key):
-            return self._hint(beat.key, sender, now)
-        effects = self.holder.beat(beat, now)
-        heard = self.holder.leader(beat.key, now) == beat.grantor.name
-        other = beat.grantor != self._cfg.me
-        if seat is not None and heard and other and not seat.election.leading:
-            # One who claimed at the same time has won.
-            seat.election.step_down()
+        """Record the grantor; redirect a grantor of an older term."""
+        state = self._states.get(heartbeat.key)
+        if state is not None:
+            self._observe_term(heartbeat.key, state, heartbeat.term)
+        if heartbeat.term < self.holder.highest_term(heartbeat.key):
+            return self._redirect(heartbeat.key, sender, now)
+        effects = self.holder.handle_heartbeat(heartbeat, now)
+        is_accepted = (
+            self.holder.grantor_name(heartbeat.key, now)
+            == heartbeat.grantor.name
+        )
+        is_other = heartbeat.grantor != self._cfg.me
+        if (
+            state is not None
+            and is_accepted
+            and is_other
+            and not state.election.leading
+        ):
+            # Another entry claimed at the same time and won.
+            state.election.step_down()
         return effects
 
-    def _hint(
+    def _redirect(
         self, key: messages.PoolRegion, to: str, now: float
     ) -> list[messages.Effect]:
-        beat = self.holder.last_beat(key, now)
-        if beat is None or beat.grantor.name == to:
+        heartbeat = self.holder.last_heartbeat(key, now)
+        if heartbeat is None or heartbeat.grantor.name == to:
             return []
-        return [messages.Send(to, beat)]
+        return [messages.Send(to, heartbeat)]
 
-    def take_ask(
-        self, ask: messages.SlotRequest, now: float
+    def handle_request(
+        self, slot_request: messages.SlotRequest, now: float
     ) -> list[messages.Effect]:
-        """Grant when this entry is the grantor, else say who is."""
-        granting = self.granting(ask.key)
-        if granting is None:
-            return self._hint(ask.key, ask.holder.name, now)
-        if self._seats[ask.key].election.may_hold(ask.holder):
-            return granting.ask(ask, now)
-        # It comes again, and is answered once control knows that this
-        # member may hold slots.
-        self._wanted.setdefault(ask.key, set()).add(ask.holder)
+        """Serve a slot request, or redirect it to the current grantor."""
+        own_grantor = self.own_grantor(slot_request.key)
+        if own_grantor is None:
+            return self._redirect(
+                slot_request.key, slot_request.holder.name, now
+            )
+        if self._states[slot_request.key].election.may_hold_slots(
+            slot_request.holder
+        ):
+            return own_grantor.handle_request(slot_request, now)
+        # The holder sends the request again. It is answered once control has
+        # accepted this member in the list.
+        self._pending_members.setdefault(slot_request.key, set()).add(
+            slot_request.holder
+        )
         return []
 
     def leave(self, now: float) -> list[messages.Effect]:
-        """Grant no more, so that another takes over at once."""
+        """Stop granting, so that another entry can take over at once."""
         self._leaving = True
         effects: list[messages.Effect] = []
-        for key in self.leading():
-            seat = self._seats[key]
+        for key in self.granted_keys():
+            state = self._states[key]
             effects += self._grantors[key].deny_all(now)
-            seat.election.step_down()
-            resign = messages.Resign(key, seat.election.term, self._cfg.me)
-            names = set(self._cfg.control).union(self._nearby(key.region))
+            state.election.step_down()
+            resign = messages.Resign(key, state.election.term, self._cfg.me)
+            names = set(self._cfg.control).union(
+                self._region_entries(key.region)
+            )
             effects += [messages.Send(name, resign) for name in sorted(names)]
         return effects
 
@@ -441,7 +507,7 @@
 @functools.singledispatch
 def _handle(event: Event, node: Node, now: float) -> list[messages.Effect]:
     """Return the effects of an event."""
-    raise TypeError(f"no such event: {event!r}")
+    raise TypeError(f"unknown event: {event!r}")
 
 
 @_handle.register
@@ -456,7 +522,7 @@
 
 @_handle.register
 def _(event: Release, node: Node, now: float) -> list[messages.Effect]:
-    return node.holder.release(event.grant, event.done, now)
+    return node.holder.release(event.grant, event.result, now)
 
 
 @_handle.register
@@ -479,21 +545,21 @@
     message: messages.Message, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
     """Return the effects of a message."""
-    raise TypeError(f"no such message: {message!r}")
+    raise TypeError(f"unknown message: {message!r}")
 
 
 @_receive.register
 def _(
     message: messages.Claim, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
-    return node.take_claim(message, now)
+    return node.handle_claim(message, now)
 
 
 @_receive.register
 def _(
     message: messages.Vote, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
-    return node.take_vote(message, now)
+    return node.handle_vote(message, now)
 
 
 @_receive.register
@@ -501,7 +567,7 @@
     message: messages.Resign, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
     node.voter.resign(message, now)
-    node.holder.lost_leader(message.key, message.candidate.name)
+    node.holder.drop_grantor(message.key, message.candidate.name)
     return []
 
 
@@ -509,43 +575,44 @@
 def _(
     message: messages.GrantorHeartbeat, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
-    return node.take_beat(message, sender, now)
+    return node.handle_heartbeat(message, sender, now)
 
 
 @_receive.register
 def _(
     message: messages.SlotRequest, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
-    return node.take_ask(message, now)
+    return node.handle_request(message, now)
 
 
 @_receive.register
 def _(
     message: messages.SlotGranted, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
-    return node.holder.granted(sender, message, now)
+    return node.holder.handle_granted(sender, message, now)
 
 
 @_receive.register
 def _(
     message: messages.SlotDenied, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
-    return node.holder.denied(message, now)
+    return node.holder.handle_denied(message, now)
 
 
 @_receive.register
 def _(
     message: messages.SlotRelease, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
-    granting = node.granting(message.key)
-    return granting.release(message, now) if granting is not None else []
+    own_grantor = node.own_grantor(message.key)
+    return own_grantor.release(message, now) if own_grantor is not None else []
 
 
 @_receive.register
 def _(
     message: messages.SilentServers, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
-    # An entry that chooses by itself tells of servers; here grantors judge them.
+    # Sent by an entry that chooses servers by itself. With granted slots the
+    # grantor judges the servers.
     return []
 
 
@@ -553,5 +620,5 @@
 def _(
     message: messages.SlotSync, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
-    granting = node.granting(message.key)
-    return granting.sync(message, now) if granting is not None else []
+    own_grantor = node.own_grantor(message.key)
+    return own_grantor.sync(message, now) if own_grantor is not None else []
--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -133,7 +133,7 @@
 
 def _granting(world):
     (name,) = world.grantors()
-    return world.entries[name].node.granting(KEY)
+    return world.entries[name].node.own_grantor(KEY)
 
 
 @then("another entry grants, with the dead one's slots withheld")
@@ -210,7 +210,7 @@
     world.run(1)
     context.entry = world.entries[name]
     holder = context.entry.node.holder
-    context.term = holder.term(KEY) + 1
+    context.term = holder.highest_term(KEY) + 1
     assert len(holder.promise(KEY, context.term)) == 1
 
 
@@ -233,7 +233,7 @@
     entry = world.entries[context.name]
     context.ticket = world.ask(context.name)
     holder = entry.node.holder
-    (number,) = holder.open_numbers()
+    (number,) = holder.pending_numbers()
     earlier = messages.Member(entry.me.name, entry.me.incarnation - 1)
     granted = messages.SlotGranted(
         KEY, 99, earlier, number, fake_entries.server("s0")
@@ -245,7 +245,7 @@
 def _(context):
     entry = context.world.entries[context.name]
     assert context.ticket not in entry.answers
-    assert entry.node.holder.open_numbers()
+    assert entry.node.holder.pending_numbers()
 
 
 @when("an entry asks for {count:d} slots for traffic moved in")
--- a/tests/support/fake_entries.py
+++ b/tests/support/fake_entries.py
@@ -232,7 +232,7 @@
         for name, entry in self.entries.items():
             if name in self.dead:
                 continue
-            for hold in entry.node.holder.holds():
+            for hold in entry.node.holder.held_slots():
                 one = self.servers[hold.server_id]
                 if hold.server_incarnation == one.incarnation:
                     used[hold.server_id] += 1
@@ -250,5 +250,5 @@
         return [
             name
             for name, entry in self.entries.items()
-            if name not in self.dead and entry.node.granting(key) is not None
+            if name not in self.dead and entry.node.own_grantor(key) is not None
         ]
