--- a/hyssopfold/control/slot_votes.py
+++ b/hyssopfold/control/slot_votes.py
@@ -52,7 +52,7 @@
     async def run(self) -> None:
         """Take in claims until cancelled."""
         votes = voter.Voter(
-            self._me, trio.current_time(), promises=load(self._data)
+            self._me, trio.current_time(), states=load(self._data)
         )
         parcel: datagram_wire.Parcel
         async for parcel in self._spread.parcels:
--- a/hyssopfold/core/balancing/voter.py
+++ b/hyssopfold/core/balancing/voter.py
@@ -1,4 +1,4 @@
-"""Votes on who grants the slots of a pool in a region, under leases."""
+"""Votes on the grantor of a pool's slots in a region, under leases."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -9,9 +9,13 @@
 
 
 class VoteState(NamedTuple):
-    """What was promised for a key, and the last list that was accepted.
+    """A voter's promise for a pool in a region, and the list it accepted last.
 
-    `until` is monotonic time of one process; all else outlives it on disk.
+    `candidate` has the vote for `term`, under a lease until `until` in
+    monotonic seconds of this process, which means nothing after a restart; all
+    other fields are restored from disk. The list
+    of `members` was accepted from `accepted_candidate` for `accepted_term` and
+    `accepted_version`; `own_limit` came with it (see `messages.Claim`).
     """
 
     term: int
@@ -24,24 +28,24 @@
     own_limit: int = 0
 
 
-_BLANK = VoteState(0, None, 0.0, 0, 0, ())
+_NO_STATE = VoteState(0, None, 0.0, 0, 0, ())
 
 
 class Voter:
-    """Vote for one grantor at a time.
+    """A voter of an instance: it votes for one grantor at a time.
 
-    Control instances and entries vote alike. A control instance syncs what
-    `durable` gives before it answers, if `changed` says so: a vote that were
-    forgotten in a restart could let a candidate miss a list of members. The
-    lease is not synced; one that was restarted does not vote until votes of
-    its last life have lapsed.
+    Control instances and entries use the same rules. If `changed` is set, a
+    control instance must write the result of `durable` to disk before it
+    sends a vote: if it lost a vote in a restart, a candidate could miss a
+    list of members. The lease is not written; a restarted instance does not
+    vote until the leases of its previous incarnation have expired.
 
     Args:
-        me: This life of the instance.
+        me: This incarnation of the instance.
         started: Monotonic time of its start, in seconds.
-        lease_s: Seconds that a vote holds; 0 for entries, whose votes only
+        lease_s: Lease of a vote in seconds; 0 for entries, whose votes only
             order the terms.
-        promises: What the last life promised.
+        states: State that the previous incarnation wrote to disk.
     """
 
     def __init__(
@@ -49,39 +53,39 @@
         me: messages.Member,
         started: float,
         lease_s: float = LEASE_S,
-        promises: Mapping[messages.PoolRegion, VoteState] | None = None,
+        states: Mapping[messages.PoolRegion, VoteState] | None = None,
     ) -> None:
         self._me = me
         self._lease_s = lease_s
         self._votes_from = started + lease_s
-        self._promises = {
-            key: held._replace(until=0.0)
-            for key, held in (promises or {}).items()
+        self._states = {
+            key: state._replace(until=0.0)
+            for key, state in (states or {}).items()
         }
         self.changed = False
 
     def durable(self) -> dict[messages.PoolRegion, VoteState]:
-        """Return what must outlive this process; it counts as synced now."""
+        """Return the state to write to disk, and clear `changed`."""
         self.changed = False
-        return dict(self._promises)
+        return dict(self._states)
 
-    def promised(self, key: messages.PoolRegion) -> int:
-        """Return the highest term promised."""
-        return self._promises.get(key, _BLANK).term
+    def promised_term(self, key: messages.PoolRegion) -> int:
+        """Return the highest promised term."""
+        return self._states.get(key, _NO_STATE).term
 
     def members(self, key: messages.PoolRegion) -> tuple[messages.Member, ...]:
-        """Return the newest list of members accepted."""
-        return self._promises.get(key, _BLANK).members
+        """Return the newest accepted list of members."""
+        return self._states.get(key, _NO_STATE).members
 
     def vote(self, claim: messages.Claim, now: float) -> messages.Vote:
-        """Return the vote on a claim; a granted one holds `lease_s`."""
-        held = self._promises.get(claim.key, _BLANK)
-        granted = self._may_grant(claim, held, now)
+        """Return the vote on a claim; the lease of a granted one begins now."""
+        state = self._states.get(claim.key, _NO_STATE)
+        granted = self._may_grant(claim, state, now)
         if granted:
-            before = held
-            held = _accept(claim, held, now + self._lease_s)
-            self._promises[claim.key] = held
-            self.changed |= held._replace(until=before.until) != before
+            previous = state
+            state = _accept(claim, state, now + self._lease_s)
+            self._states[claim.key] = state
+            self.changed |= state._replace(until=previous.until) != previous
         return messages.Vote(
             claim.key,
             claim.term,
@@ -89,54 +93,54 @@
             self._me,
             claim.round,
             granted,
-            held.term,
-            held.accepted_term,
-            held.accepted_version,
-            held.members,
-            held.accepted_candidate,
-            held.own_limit,
+            state.term,
+            state.accepted_term,
+            state.accepted_version,
+            state.members,
+            state.accepted_candidate,
+            state.own_limit,
             0,
             0,
             None,
         )
 
     def resign(self, resign: messages.Resign, now: float) -> None:
-        """End the lease of a grantor that says that it grants no more."""
-        held = self._promises.get(resign.key)
-        if held is None or held.term != resign.term:
+        """End the lease of a grantor that resigned."""
+        state = self._states.get(resign.key)
+        if state is None or state.term != resign.term:
             return
-        if held.candidate == resign.candidate:
-            self._promises[resign.key] = held._replace(until=now)
+        if state.candidate == resign.candidate:
+            self._states[resign.key] = state._replace(until=now)
 
     def _may_grant(
-        self, claim: messages.Claim, held: VoteState, now: float
+        self, claim: messages.Claim, state: VoteState, now: float
     ) -> bool:
-        if now < self._votes_from or claim.term < held.term:
+        if now < self._votes_from or claim.term < state.term:
             return False
-        same = claim.candidate == held.candidate
-        if claim.term == held.term and not same:
+        same_candidate = claim.candidate == state.candidate
+        if claim.term == state.term and not same_candidate:
             return False
-        if held.until > now and not same:
-            # Two grantors at once would grant one slot twice.
+        if state.until > now and not same_candidate:
+            # Two grantors at the same time would grant the same slot twice.
             return False
         if claim.version and claim.members is None:
-            seen = (held.accepted_term, held.accepted_version)
-            return seen == (claim.term, claim.version)
+            accepted = (state.accepted_term, state.accepted_version)
+            return accepted == (claim.term, claim.version)
         return True
 
 
-def _accept(claim: messages.Claim, held: VoteState, until: float) -> VoteState:
-    held = held._replace(
+def _accept(claim: messages.Claim, state: VoteState, until: float) -> VoteState:
+    state = state._replace(
         term=claim.term, candidate=claim.candidate, until=until
     )
     if claim.members is None:
-        return held
+        return state
     if (claim.term, claim.version) < (
-        held.accepted_term,
-        held.accepted_version,
+        state.accepted_term,
+        state.accepted_version,
     ):
-        return held
-    return held._replace(
+        return state
+    return state._replace(
         accepted_term=claim.term,
         accepted_version=claim.version,
         members=claim.members,
--- a/tests/support/fake_entries.py
+++ b/tests/support/fake_entries.py
@@ -91,7 +91,7 @@
         """Start a control instance with what its disk holds."""
         me = messages.Member(name, next(self.lives))
         disk = self.disks.get(name)
-        self.control[name] = voter.Voter(me, self.now, promises=disk)
+        self.control[name] = voter.Voter(me, self.now, states=disk)
         if hasattr(self, "dead"):
             self.dead.discard(name)
 
