--- a/hyssopfold/core/balancing/grantor.py
+++ b/hyssopfold/core/balancing/grantor.py
@@ -224,7 +224,7 @@
         if slot is None:
             self._withdraw(message.holder, message.number)
             return []
-        self._health.record_result(slot.server_id, message.result, now)
+        self._health.record_result(slot.server_id, message.attempt_result, now)
         self._queue.freed(now)
         return self.serve_queue(now)
 
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -256,7 +256,7 @@
     key: PoolRegion
     holder: Member
     number: int
-    result: AttemptResult
+    attempt_result: AttemptResult
 
 
 class SlotSync(NamedTuple):
--- a/hyssopfold/core/balancing/node.py
+++ b/hyssopfold/core/balancing/node.py
@@ -53,7 +53,7 @@
     """Event: an attempt on a granted slot ended."""
 
     grant: messages.Grant
-    result: messages.AttemptResult
+    attempt_result: messages.AttemptResult
 
 
 class Received(NamedTuple):
@@ -522,7 +522,7 @@
 
 @_handle.register
 def _(event: Release, node: Node, now: float) -> list[messages.Effect]:
-    return node.holder.release(event.grant, event.result, now)
+    return node.holder.release(event.grant, event.attempt_result, now)
 
 
 @_handle.register
--- a/hyssopfold/core/balancing/voter.py
+++ b/hyssopfold/core/balancing/voter.py
@@ -12,10 +12,10 @@
     """A voter's promise for a pool in a region, and the list it accepted last.
 
     `candidate` has the vote for `term`, under a lease until `until` in
-    monotonic seconds of this process, which means nothing after a restart; all
-    other fields are restored from disk. The list
-    of `members` was accepted from `accepted_candidate` for `accepted_term` and
-    `accepted_version`; `own_limit` came with it (see `messages.Claim`).
+    monotonic seconds of one process; all other fields outlive the process on
+    disk. The list of `members` was accepted from `accepted_candidate` for
+    `accepted_term` and `accepted_version`; `own_limit` belongs to the list
+    (see `messages.Claim`).
     """
 
     term: int
