--- a/bench/placement_failover.py
+++ b/bench/placement_failover.py
@@ -58,7 +58,7 @@
         arrivals = int(count) + (self.rng.random() < count % 1)
         for _ in range(arrivals):
             name = self.rng.choice(live)
-            self.waiting.append((name, world.ask(name)))
+            self.waiting.append((name, world.request_slot(name)))
         world.run(STEP_S)
         self._collect(live)
 
--- a/tests/core/balancing/node.feature
+++ b/tests/core/balancing/node.feature
@@ -1,125 +1,128 @@
 Feature: granted slots
-  Ten entries share twelve servers of three slots. Each entry that chose by
-  itself would send a payment to a server whose slots are all busy, and a
-  student at the counter would wait behind an upload. One entry grants the
-  slots; whatever happens to it, no slot is given twice.
+  Ten entries share twelve servers of three slots each. If each entry chose a
+  server by itself, it could send a request to a server whose slots are all in
+  use, where the request would wait behind a slow one.
+  One elected entry therefore grants the slots. Whatever fails, no slot is
+  granted twice.
 
-  Scenario: more asks than slots fill every slot once
+  Scenario: more requests than slots use every slot once
     Given placement of 4 entries over 12 servers
-    When every entry asks for 12 slots
-    Then 36 slots are in use, and the other asks were refused as not run
+    When every entry requests 12 slots
+    Then 36 slots are in use, and the other requests were refused as not run
 
-  Scenario: a refusal certain at once is not held back
-    A long upload holds each slot. Nothing tells when one comes free, so a
-    stock check that waited for it would only be refused later.
+  Scenario: a request without any prospect of a slot is refused at once
+    Long requests use every slot, and nothing indicates when one becomes free.
+    A request that waited would only be refused later.
     Given placement of 2 entries over 1 servers
-    When slots were used for 0.05 s each, and then all are held
+    When slots were used for 0.05 s each, and then all stay in use
     And 3 s pass in placement
-    Then a new ask is refused within 0.1 s with a retry-after
+    Then a new request is refused within 0.1 s with a retry-after
 
-  Scenario: the grantor dies holding slots
-    Its callers' uploads end with it, but its machine may only be cut off.
-    It never used more than one slot of each server itself; these stay unused
-    until it is heard of again, and all others are granted on.
+  Scenario: the grantor dies with slots in use
+    Its requests end with its process, but its machine may only be cut off from
+    the network. It never used more than one slot of each server itself. These
+    are withheld until it reports again, and all other slots are granted.
     Given placement of 4 entries over 12 servers
-    When every entry asks for 8 slots
+    When every entry requests 8 slots
     And the grantor dies
     And 4 s pass in placement
-    Then another entry grants, with the dead one's slots withheld
-    When all slots are given back and every live entry asks for 16 slots
+    Then another entry grants, and the dead entry's slots are withheld
+    When all slots are released and every live entry requests 16 slots
     Then 24 slots are in use in all
-    When the dead entry starts again and 3 s pass in placement
+    When the dead entry restarts and 3 s pass in placement
     Then nothing is withheld
 
-  Scenario: the grantor is frozen, replaced, and comes back
-    A grantor that stood still for ten seconds believes that it still grants.
-    What it says is refused by all who promised the newer term, and it learns
-    of it before its next grant is used.
+  Scenario: the grantor is frozen, replaced, and resumes
+    A grantor that was suspended for ten seconds still considers itself the
+    grantor. Entries that promised the newer term refuse its grants, and it
+    learns of the newer term before any of its new grants is used.
     Given placement of 4 entries over 3 servers
-    When every entry asks for 2 slots
-    And the grantor is frozen for 10 s while others take its place
-    And the old grantor asks and grants again
-    Then there is one grantor and no slot was over-run
+    When every entry requests 2 slots
+    And the grantor is frozen for 10 s and replaced
+    And the old grantor resumes, and requests and grants slots
+    Then there is one grantor and no server exceeds its slots
 
-  Scenario: the grantor stops as planned
+  Scenario: the grantor stops in an orderly way
     Given placement of 4 entries over 3 servers
     When the grantor leaves
     Then another entry grants within 1.0 s
 
-  Scenario: control is cut off and the grantor dies as well
-    Nobody can give a new term. A region that stood still until control came
-    back would refuse every payment; the survivors go on with the slots that
-    they held, which no one else can use.
+  Scenario: control is unreachable and the grantor dies as well
+    No new term can be granted. If the region waited for control, it would
+    refuse every request. Instead a standalone grantor grants the slots that
+    the surviving entries had in use, which no other entry can use.
     Given placement of 4 entries over 12 servers
-    When every entry asks for 9 slots
+    When every entry requests 9 slots
     And control is cut off and the grantor dies
     And 8 s pass in placement
-    And all slots are given back and every live entry asks for 12 slots
+    And all slots are released and every live entry requests 12 slots
     Then 27 slots are in use in all
-    When control is heard again and the dead entry starts again
+    When control is reachable again and the dead entry restarts
     And 6 s pass in placement
     Then nothing is withheld
 
-  Scenario: a release that was lost is noticed
+  Scenario: the grantor detects a lost release
     Given placement of 3 entries over 1 servers
-    When every entry asks for 1 slots
-    And all slots are given back while no message comes through
+    When every entry requests 1 slots
+    And all slots are released while every message is lost
     And 4 s pass in placement
-    And every entry asks for 1 slots
+    And every entry requests 1 slots
     Then 3 slots are in use in all
 
   Scenario: a release after a promise does not go to the old grantor
-    An entry reports its slot to the new grantor and then gives it back. Did
-    the old grantor, not yet replaced in its own eyes, hear of it too, both
-    would grant the slot. The specification found this order of events.
+    An entry reports its slot to the new grantor and then releases it. If the
+    old grantor, which does not yet know of the new term, also received the
+    release, both would grant the slot. Model checking of the specification
+    found this order of events.
     Given placement of 3 entries over 1 servers
     When an entry that uses a slot promises a newer term
-    Then its release is sent to no one until the newer grantor beats
+    Then its release is not sent before the newer grantor's first heartbeat
 
-  Scenario: a grant for an earlier life is not used
-    An entry that was started again counts its asks from 1 as before. A grant
-    that was late on its way would fit an ask of the new life.
+  Scenario: a grant for an earlier incarnation is not used
+    A restarted entry numbers its requests from 1 again, so that a late grant
+    could match a request of the new incarnation.
     Given placement of 3 entries over 1 servers
-    When a grant for an earlier life reaches an entry that asks
-    Then the ask is still open
+    When a grant for an earlier incarnation reaches a requesting entry
+    Then the request is still pending
 
-  Scenario: traffic that was moved in leaves the headroom free
+  Scenario: traffic moved into the region leaves the headroom free
     Given placement of 2 entries over 5 servers
-    When an entry asks for 15 slots for traffic moved in
+    When an entry requests 15 slots for traffic moved into the region
     Then 12 slots are in use in all
-    When every entry asks for 1 slots
+    When every entry requests 1 slots
     Then 14 slots are in use in all
 
-  Scenario: a server that says it leaves gets no new work
+  Scenario: a server that announces that it leaves gets no new requests
     Given placement of 3 entries over 2 servers
-    When server "s0" says that it leaves and 1 s pass in placement
-    And every entry asks for 4 slots
+    When server "s0" announces its leaving and 1 s pass in placement
+    And every entry requests 4 slots
     Then server "s0" has no slot in use
 
-  Scenario: a grant that crossed with the server's leaving is given back
+  Scenario: a grant of a server that has begun to leave is released
     Given placement of 2 entries over 2 servers
-    When an entry hears that server "s0" leaves before the grantor does
-    And that entry asks for 3 slots
+    When an entry learns that server "s0" leaves before the grantor does
+    And that entry requests 3 slots
     Then server "s0" has no slot in use
 
   Scenario: another attempt never gets the server that was tried
-    A server dies under a read; the only free slot left is its own. The read
-    was granted that server again, which the request's own invariant forbids:
-    its caller got a bare 500. It waits for another server or is refused.
+    A server dies during a request, and the only free slot is its own. The
+    request was granted the same server again, which violates an invariant of
+    its attempts, and the caller got a bare 500. The request must wait for
+    another server or be refused.
     Given placement of 2 entries over 1 servers
-    When an entry asks for a slot of any server but "s0"
-    Then that other attempt is refused, and others still get "s0"
+    When an entry requests a slot of any server but "s0"
+    Then that request is refused, and another request still gets "s0"
 
-  Scenario: the grantor's own server leaves between two of its ticks
-    The entry that grants hears that a server leaves and is asked for a slot
-    before it has counted its servers anew. It granted itself a slot of that
-    server, gave it back as unfit and asked itself again, without end: the
-    whole entry stood still and cut every upload that went through it.
+  Scenario: a server leaves between two ticks of the grantor
+    The grantor learns that a server leaves, and requests a slot itself before
+    it has updated its list of servers. It granted itself a slot of that
+    server, released it because the server is leaving, and requested again in
+    an endless loop: the entry hung and cut every request that it relayed.
     Given placement of 1 entries over 1 servers
-    When the grantor hears that server "s0" leaves and asks at once
-    Then the grantor's ask is refused or waits
+    When the grantor learns that server "s0" leaves and requests a slot at once
+    Then the grantor's request is refused or waits
 
   @soak
-  Scenario: no slot is over-run in random runs
+  Scenario: no server exceeds its slots in random runs
     When placement is run at random with faults
-    Then no slot was over-run in any run
+    Then no server exceeded its slots in any run
--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -31,35 +31,35 @@
     ]
 
 
-def _ask_all(world, count):
+def _request_from_all(world, count):
     for name in _live(world) * count:
-        world.ask(name)
+        world.request_slot(name)
     world.run(2)
 
 
-@when("every entry asks for {count:d} slots")
-@when("every live entry asks for {count:d} slots")
+@when("every entry requests {count:d} slots")
+@when("every live entry requests {count:d} slots")
 def _(context, count):
-    _ask_all(context.world, count)
+    _request_from_all(context.world, count)
 
 
-@when("all slots are given back and every live entry asks for {count:d} slots")
+@when("all slots are released and every live entry requests {count:d} slots")
 def _(context, count):
-    _give_back(context.world)
+    _release_all(context.world)
     context.world.run(1)
-    _ask_all(context.world, count)
+    _request_from_all(context.world, count)
 
 
-def _give_back(world):
+def _release_all(world):
     for name in _live(world):
         for ticket in list(world.entries[name].grants):
             world.release(name, ticket)
 
 
-@when("all slots are given back while no message comes through")
+@when("all slots are released while every message is lost")
 def _(context):
     context.world.loss = 1.0
-    _give_back(context.world)
+    _release_all(context.world)
     context.world.loss = 0.0
 
 
@@ -67,7 +67,9 @@
     return sum(world.in_use().values())
 
 
-@then("{count:d} slots are in use, and the other asks were refused as not run")
+@then(
+    "{count:d} slots are in use, and the other requests were refused as not run"
+)
 def _(context, count):
     world = context.world
     assert _in_use(world) == count, world.in_use()
@@ -76,9 +78,11 @@
         for entry in world.entries.values()
         for answer in entry.answers.values()
     ]
-    refused = [one for one in answers if isinstance(one, messages.Refused)]
+    refused = [
+        answer for answer in answers if isinstance(answer, messages.Refused)
+    ]
     assert len(refused) == len(answers) - count
-    assert all(one.retry_after_s > 0 for one in refused)
+    assert all(answer.retry_after_s > 0 for answer in refused)
 
 
 @then("{count:d} slots are in use in all")
@@ -91,19 +95,19 @@
     context.world.run(seconds)
 
 
-@when("slots were used for {seconds:g} s each, and then all are held")
+@when("slots were used for {seconds:g} s each, and then all stay in use")
 def _(context, seconds):
     world = context.world
     for _ in range(20):
-        ticket = world.ask("e0")
+        ticket = world.request_slot("e0")
         world.run(seconds)
         world.release("e0", ticket)
-    _ask_all(world, 2)
+    _request_from_all(world, 2)
 
 
-@then("a new ask is refused within {seconds:g} s with a retry-after")
+@then("a new request is refused within {seconds:g} s with a retry-after")
 def _(context, seconds):
-    ticket = context.world.ask("e1")
+    ticket = context.world.request_slot("e1")
     context.world.run(seconds)
     answer = context.world.entries["e1"].answers[ticket]
     assert isinstance(answer, messages.Refused), answer
@@ -113,72 +117,72 @@
 
 @when("the grantor dies")
 def _(context):
-    (context.old,) = context.world.grantors()
-    context.world.kill(context.old)
+    (context.old_grantor,) = context.world.grantors()
+    context.world.kill(context.old_grantor)
 
 
 @when("control is cut off and the grantor dies")
 def _(context):
     world = context.world
     world.separate(list(world.entries), list(world.control_names))
-    (context.old,) = world.grantors()
-    world.kill(context.old)
+    (context.old_grantor,) = world.grantors()
+    world.kill(context.old_grantor)
 
 
-@when("control is heard again and the dead entry starts again")
+@when("control is reachable again and the dead entry restarts")
 def _(context):
     context.world.heal()
-    context.world.start(context.old)
+    context.world.start(context.old_grantor)
 
 
-def _granting(world):
+def _grantor(world):
     (name,) = world.grantors()
     return world.entries[name].node.own_grantor(KEY)
 
 
-@then("another entry grants, with the dead one's slots withheld")
+@then("another entry grants, and the dead entry's slots are withheld")
 def _(context):
     world = context.world
-    assert world.grantors() != [context.old]
+    assert world.grantors() != [context.old_grantor]
     used = world.in_use()
     withheld = sum(min(1, 3 - count) for count in used.values())
-    assert 0 < _granting(world).ledger.withheld() == withheld
+    assert 0 < _grantor(world).ledger.withheld() == withheld
 
 
-@when("the dead entry starts again and {seconds:d} s pass in placement")
+@when("the dead entry restarts and {seconds:d} s pass in placement")
 def _(context, seconds):
-    context.world.start(context.old)
+    context.world.start(context.old_grantor)
     context.world.run(seconds)
 
 
 @then("nothing is withheld")
 def _(context):
-    assert _granting(context.world).ledger.withheld() == 0
+    assert _grantor(context.world).ledger.withheld() == 0
 
 
-@when("the grantor is frozen for {seconds:d} s while others take its place")
+@when("the grantor is frozen for {seconds:d} s and replaced")
 def _(context, seconds):
     world = context.world
-    (context.old,) = world.grantors()
-    world.freeze(context.old)
+    (context.old_grantor,) = world.grantors()
+    world.freeze(context.old_grantor)
     world.run(seconds)
-    assert len(world.grantors()) == 2, "the frozen one cannot know"
+    assert len(world.grantors()) == 2, "the frozen grantor has not noticed"
 
 
-@when("the old grantor asks and grants again")
+@when("the old grantor resumes, and requests and grants slots")
 def _(context):
     world = context.world
-    entry = world.entries[context.old]
+    entry = world.entries[context.old_grantor]
     entry.frozen = False
     for name in world.entries:
-        world.ask(name)
+        world.request_slot(name)
     for _ in range(5):
-        world.ask(context.old)
-    world.thaw(context.old)
+        world.request_slot(context.old_grantor)
+    world.thaw(context.old_grantor)
     world.run(3)
 
 
-@then("there is one grantor and no slot was over-run")
+@then("there is one grantor and no server exceeds its slots")
 def _(context):
     assert len(context.world.grantors()) == 1
     context.world.check()
@@ -186,27 +190,27 @@
 
 @when("the grantor leaves")
 def _(context):
-    (context.old,) = context.world.grantors()
-    context.world.submit(context.old, node.Leave())
+    (context.old_grantor,) = context.world.grantors()
+    context.world.submit(context.old_grantor, node.Leave())
 
 
 @then("another entry grants within {seconds:g} s")
 def _(context, seconds):
     context.world.run(seconds)
     (name,) = context.world.grantors()
-    assert name != context.old
+    assert name != context.old_grantor
 
 
-def _other_than_grantor(world):
+def _non_grantor_name(world):
     (grantor,) = world.grantors()
-    return next(one for one in world.entries if one != grantor)
+    return next(name for name in world.entries if name != grantor)
 
 
 @when("an entry that uses a slot promises a newer term")
 def _(context):
     world = context.world
-    name = _other_than_grantor(world)
-    context.ticket = world.ask(name)
+    name = _non_grantor_name(world)
+    context.ticket = world.request_slot(name)
     world.run(1)
     context.entry = world.entries[name]
     holder = context.entry.node.holder
@@ -214,7 +218,7 @@
     assert len(holder.promise(KEY, context.term)) == 1
 
 
-@then("its release is sent to no one until the newer grantor beats")
+@then("its release is not sent before the newer grantor's first heartbeat")
 def _(context):
     entry, now = context.entry, context.world.now
     grant = entry.grants[context.ticket]
@@ -223,15 +227,17 @@
     newer = messages.Member("e9", 99)
     beat = messages.GrantorHeartbeat(KEY, context.term, newer, False)
     effects = entry.node.handle(node.Received("e9", beat), now)
-    assert [(one.to, one.message.held_slots) for one in effects] == [("e9", ())]
+    assert [(effect.to, effect.message.held_slots) for effect in effects] == [
+        ("e9", ())
+    ]
 
 
-@when("a grant for an earlier life reaches an entry that asks")
+@when("a grant for an earlier incarnation reaches a requesting entry")
 def _(context):
     world = context.world
-    context.name = _other_than_grantor(world)
+    context.name = _non_grantor_name(world)
     entry = world.entries[context.name]
-    context.ticket = world.ask(context.name)
+    context.ticket = world.request_slot(context.name)
     holder = entry.node.holder
     (number,) = holder.pending_numbers()
     earlier = messages.Member(entry.me.name, entry.me.incarnation - 1)
@@ -241,50 +247,56 @@
     world.submit(context.name, node.Received("e9", granted))
 
 
-@then("the ask is still open")
+@then("the request is still pending")
 def _(context):
     entry = context.world.entries[context.name]
     assert context.ticket not in entry.answers
     assert entry.node.holder.pending_numbers()
 
 
-@when("an entry asks for {count:d} slots for traffic moved in")
+@when("an entry requests {count:d} slots for traffic moved into the region")
 def _(context, count):
     for _ in range(count):
-        context.world.ask("e0", moved=True)
+        context.world.request_slot("e0", moved=True)
     context.world.run(2)
 
 
-def _say_leaving(world, server_id):
-    word = world.servers[server_id]._replace(state="leaving", sequence=10**9)
-    world.servers[server_id] = word
-    return word
+def _announce_leaving(world, server_id):
+    record = world.servers[server_id]._replace(state="leaving", sequence=10**9)
+    world.servers[server_id] = record
+    return record
 
 
-@when('server "{name}" says that it leaves and {seconds:d} s pass in placement')
+@when(
+    'server "{name}" announces its leaving and {seconds:d} s pass in placement'
+)
 def _(context, name, seconds):
-    _say_leaving(context.world, name)
+    _announce_leaving(context.world, name)
     context.world.run(seconds)
 
 
-@when('an entry hears that server "{name}" leaves before the grantor does')
+@when('an entry learns that server "{name}" leaves before the grantor does')
 def _(context, name):
     world = context.world
     (grantor,) = world.grantors()
-    context.early = next(one for one in world.entries if one != grantor)
-    word = _say_leaving(world, name)
-    world.lost_words.add((grantor, name))
-    world.entries[context.early].known.servers.update(name, word, world.now)
+    context.informed_entry = next(
+        entry_name for entry_name in world.entries if entry_name != grantor
+    )
+    record = _announce_leaving(world, name)
+    world.missing_records.add((grantor, name))
+    world.entries[context.informed_entry].directory.servers.update(
+        name, record, world.now
+    )
 
 
-@when('an entry asks for a slot of any server but "{name}"')
+@when('an entry requests a slot of any server but "{name}"')
 def _(context, name):
-    context.attempt = context.world.ask("e1", avoid=(name,))
-    context.other = context.world.ask("e0")
+    context.attempt = context.world.request_slot("e1", avoid=(name,))
+    context.other = context.world.request_slot("e0")
     context.world.run(3)
 
 
-@then('that other attempt is refused, and others still get "{name}"')
+@then('that request is refused, and another request still gets "{name}"')
 def _(context, name):
     entries = context.world.entries
     answer = entries["e1"].answers[context.attempt]
@@ -293,25 +305,27 @@
     assert grant.server.server_id == name, grant
 
 
-@when('the grantor hears that server "{name}" leaves and asks at once')
+@when(
+    'the grantor learns that server "{name}" leaves and requests a slot at once'
+)
 def _(context, name):
     world = context.world
     (grantor,) = world.grantors()
-    word = _say_leaving(world, name)
-    world.entries[grantor].known.servers.update(name, word, world.now)
-    world.ask(grantor)
+    record = _announce_leaving(world, name)
+    world.entries[grantor].directory.servers.update(name, record, world.now)
+    world.request_slot(grantor)
 
 
-@then("the grantor's ask is refused or waits")
+@then("the grantor's request is refused or waits")
 def _(context):
     context.world.run(2)
     assert sum(context.world.in_use().values()) == 0, context.world.in_use()
 
 
-@when("that entry asks for {count:d} slots")
+@when("that entry requests {count:d} slots")
 def _(context, count):
     for _ in range(count):
-        context.world.ask(context.early)
+        context.world.request_slot(context.informed_entry)
     context.world.run(2)
 
 
@@ -319,12 +333,13 @@
 def _(context, name):
     used = context.world.in_use()
     assert used[name] == 0, used
-    assert sum(used.values()) > 0, "the others go on"
+    assert sum(used.values()) > 0, "the other servers are still used"
 
 
 _ENTRIES = ("e0", "e1", "e2", "f0")
 _CONTROL = ("control-0", "control-1", "control-2")
-# Work is more frequent than faults, or nothing would run when they come.
+# Requests and releases are more frequent than faults, so that requests are in
+# progress when a fault occurs.
 _STEPS = (
     *("ask",) * 6,
     *("give_back",) * 6,
@@ -346,7 +361,7 @@
 
 
 class PlacementRun(stateful.RuleBasedStateMachine):
-    """Entries and control under every fault; the fake asserts the slots."""
+    """Entries and control with random faults; the fake asserts the slots."""
 
     @stateful.initialize(
         seed=strategies.integers(0, 2**32),
@@ -358,7 +373,7 @@
     def begin(self, seed, servers, loss, doubling, delays):
         self.world = fake_entries.FakeEntries(seed, 3, servers, far=1)
         self.world.delay_s = delays
-        self.world.loss, self.world.doubling = loss, doubling
+        self.world.loss, self.world.duplication = loss, doubling
         self.world.run(3)
 
     @stateful.rule(
@@ -377,7 +392,7 @@
     def _ask(self, name, count, ones):
         for live in _live(self.world):
             for _ in range(count if live == name else 1):
-                self.world.ask(live)
+                self.world.request_slot(live)
 
     def _give_back(self, name, count, ones):
         for live in _live(self.world):
@@ -410,9 +425,9 @@
         self.world.heal()
 
     def _restart_server(self, name, count, ones):
-        word = self.world.servers["s0"]
-        self.world.servers["s0"] = word._replace(
-            incarnation=word.incarnation + 1
+        record = self.world.servers["s0"]
+        self.world.servers["s0"] = record._replace(
+            incarnation=record.incarnation + 1
         )
 
     def _kill_control(self, name, count, ones):
@@ -446,6 +461,6 @@
     stateful.run_state_machine_as_test(machine, settings=settings)
 
 
-@then("no slot was over-run in any run")
+@then("no server exceeded its slots in any run")
 def _(context):
-    """The run itself asserts it after every event."""
+    """The run itself asserts this after every event."""
--- a/tests/support/fake_entries.py
+++ b/tests/support/fake_entries.py
@@ -1,4 +1,4 @@
-"""Entries' placement cores joined by a fake network, in virtual time."""
+"""Placement nodes of entries in a simulated network, in virtual time."""
 
 import heapq
 import itertools
@@ -19,7 +19,7 @@
 
 
 def server(server_id, incarnation=1, sequence=1, state="ready", slots=3):
-    """Return a server's word."""
+    """Return a server's announcement."""
     domain = f"dar-{1 + zlib.crc32(server_id.encode()) % 2}"
     return membership.Server(
         server_id, "ledger", "127.0.0.1:9", "dar", domain, slots, 330,
@@ -28,23 +28,23 @@
 
 
 class Entry:
-    """One life of an entry: its core, and what it knows."""
+    """One incarnation of an entry, with its node and its directory."""
 
     def __init__(self, world, name, incarnation, region):
         self.me = messages.Member(name, incarnation)
         self.region = region
-        self.known = directory.Directory(LEASE_S)
+        self.directory = directory.Directory(LEASE_S)
         cfg = node.Config(self.me, region, f"{region}-1", world.control_names)
         rng = random.Random(world.rng.random())
-        self.node = node.Node(cfg, self.known, rng, world.now)
+        self.node = node.Node(cfg, self.directory, rng, world.now)
         self.node.set_pools([POOL])
         self.frozen = False
-        self.held_back = []
+        self.deferred_messages = []
         self.grants = {}
         self.answers = {}
 
-    def word(self, now):
-        """Return what the entry says of itself."""
+    def record(self, now):
+        """Return the entry's own announcement."""
         return membership.Instance(
             self.me.name, "entry", "127.0.0.1:1", "127.0.0.1:2", self.region,
             f"{self.region}-1", "ready", self.me.incarnation,
@@ -53,7 +53,15 @@
 
 
 class FakeEntries:
-    """Run entries and control voters; assert that no slot is over-run."""
+    """Entries and control voters; asserts that no server exceeds its slots.
+
+    Args:
+        seed: Seed of all random choices.
+        entries: Number of entries in the region of the servers.
+        servers: Number of servers, of 3 slots each.
+        control: Number of control instances.
+        far: Number of entries in another region.
+    """
 
     def __init__(self, seed, entries=4, servers=3, control=3, far=0):
         self.rng = random.Random(seed)
@@ -61,17 +69,17 @@
         self.control_names = tuple(f"control-{n}" for n in range(control))
         self.control = {}
         self.disks = {}
-        self.lives = itertools.count(1)
+        self.incarnations = itertools.count(1)
         for name in self.control_names:
             self.start_control(name)
         self.servers = {f"s{n}": server(f"s{n}") for n in range(servers)}
         self.entries = {}
-        self.cut = set()
-        self.loss = self.doubling = 0.0
+        self.cut_links = set()
+        self.loss = self.duplication = 0.0
         self.delay_s = (0.0005, 0.002)
         self.dead = set()
-        self.lost_words = set()
-        self.decided = []
+        self.missing_records = set()
+        self.logged_decisions = []
         self.max_used = 0
         self._queue = []
         self._order = itertools.count()
@@ -83,45 +91,47 @@
             self.start(f"f{n}", "arusha")
 
     def start(self, name, region="dar"):
-        """Start an entry, or a new life of it."""
-        self.entries[name] = Entry(self, name, next(self.lives), region)
+        """Start an entry, or a new incarnation of it."""
+        self.entries[name] = Entry(self, name, next(self.incarnations), region)
         self.dead.discard(name)
 
     def start_control(self, name):
-        """Start a control instance with what its disk holds."""
-        me = messages.Member(name, next(self.lives))
+        """Start a control instance with the state on its disk."""
+        me = messages.Member(name, next(self.incarnations))
         disk = self.disks.get(name)
         self.control[name] = voter.Voter(me, self.now, states=disk)
         if hasattr(self, "dead"):
             self.dead.discard(name)
 
     def kill(self, name):
-        """End a process; what it ran at servers ends with it."""
+        """End a process, and with it the requests that it ran at servers."""
         self.dead.add(name)
 
-    def separate(self, ones, others):
-        """Cut all messages between two groups."""
-        for pair in itertools.product(ones, others):
-            self.cut |= {pair, pair[::-1]}
+    def separate(self, group, other_group):
+        """Drop all messages between two groups."""
+        for pair in itertools.product(group, other_group):
+            self.cut_links |= {pair, pair[::-1]}
 
     def heal(self):
-        """Let all messages through again."""
-        self.cut.clear()
+        """Stop dropping messages between groups."""
+        self.cut_links.clear()
 
     def freeze(self, name):
-        """Stop a process without ending it."""
+        """Suspend a process without ending it."""
         self.entries[name].frozen = True
 
     def thaw(self, name):
-        """Let a frozen process go on; what came meanwhile is there."""
+        """Resume a frozen process; it receives the messages sent meanwhile."""
         entry = self.entries[name]
         entry.frozen = False
-        for sender, message in entry.held_back:
+        for sender, message in entry.deferred_messages:
             self._push(self.now, name, sender, message)
-        entry.held_back = []
+        entry.deferred_messages = []
 
-    def ask(self, name, moved=False, priority=5, deadline_s=5.0, avoid=()):
-        """Let an entry ask for a slot; return the ticket."""
+    def request_slot(
+        self, name, moved=False, priority=5, deadline_s=5.0, avoid=()
+    ):
+        """Let an entry request a slot; return the ticket."""
         ticket = next(self._tickets)
         regions = (messages.Region("dar", moved),)
         req = messages.Request(
@@ -132,21 +142,21 @@
         return ticket
 
     def release(self, name, ticket, kind="answered", seconds=0.05):
-        """End the attempt of a granted ticket."""
+        """End the attempt on the slot of a granted ticket."""
         grant = self.entries[name].grants.pop(ticket)
-        done = messages.AttemptResult(kind, seconds)
-        self.submit(name, node.Release(grant, done))
+        result = messages.AttemptResult(kind, seconds)
+        self.submit(name, node.Release(grant, result))
 
     def submit(self, name, event):
-        """Hand an event to a live entry."""
+        """Pass an event to an entry, unless it is dead or frozen."""
         entry = self.entries[name]
         if name in self.dead or entry.frozen:
             return
         for effect in entry.node.handle(event, self.now):
-            self._carry(name, entry, effect)
+            self._execute(name, entry, effect)
         self.check()
 
-    def _carry(self, name, entry, effect):
+    def _execute(self, name, entry, effect):
         match effect:
             case messages.Send():
                 self._send(name, effect.to, effect.message)
@@ -155,18 +165,18 @@
                 if isinstance(effect.result, messages.Grant):
                     entry.grants[effect.ticket] = effect.result
             case messages.LogDecision():
-                self.decided.append((self.now, name, effect))
+                self.logged_decisions.append((self.now, name, effect))
 
     def _send(self, sender, to, message):
-        if (sender, to) in self.cut or self.rng.random() < self.loss:
+        if (sender, to) in self.cut_links or self.rng.random() < self.loss:
             return
-        copies = 2 if self.rng.random() < self.doubling else 1
+        copies = 2 if self.rng.random() < self.duplication else 1
         for _ in range(copies):
-            at = self.now + self.rng.uniform(*self.delay_s)
-            self._push(at, to, sender, message)
+            due_at = self.now + self.rng.uniform(*self.delay_s)
+            self._push(due_at, to, sender, message)
 
-    def _push(self, at, to, sender, message):
-        item = (at, next(self._order), to, sender, message)
+    def _push(self, due_at, to, sender, message):
+        item = (due_at, next(self._order), to, sender, message)
         heapq.heappush(self._queue, item)
 
     def _deliver(self, to, sender, message):
@@ -177,7 +187,7 @@
         elif to in self.entries:
             entry = self.entries[to]
             if entry.frozen:
-                entry.held_back.append((sender, message))
+                entry.deferred_messages.append((sender, message))
             else:
                 self.submit(to, node.Received(sender, message))
 
@@ -190,7 +200,7 @@
             self.control[to].resign(message, self.now)
 
     def run(self, seconds):
-        """Deliver messages and pass time."""
+        """Deliver messages and advance the time."""
         until = self.now + seconds
         while True:
             due = self._queue[0][0] if self._queue else math.inf
@@ -206,46 +216,55 @@
         self.now = until
 
     def _tick(self):
-        self._spread()
+        self._update_directories()
         for name in list(self.entries):
             self.submit(name, node.Tick())
 
-    def _spread(self):
-        """Tell every entry who is there, as membership would."""
+    def _update_directories(self):
+        """Update every entry's directory, as membership would."""
         for name, entry in self.entries.items():
             if name in self.dead or entry.frozen:
                 continue
-            for other, word in self.entries.items():
-                gone = other in self.dead or word.frozen
-                if not gone and (name, other) not in self.cut:
-                    said = word.word(self.now)
-                    entry.known.instances.update(other, said, self.now)
-            for one in self.servers.values():
-                if (name, one.server_id) not in self.lost_words:
-                    said = one._replace(sequence=round(self.now * 1000) + 1)
-                    entry.known.servers.update(one.server_id, said, self.now)
-            entry.known.expire(self.now)
+            for other_name, other_entry in self.entries.items():
+                is_unreachable = other_name in self.dead or other_entry.frozen
+                if (
+                    not is_unreachable
+                    and (name, other_name) not in self.cut_links
+                ):
+                    record = other_entry.record(self.now)
+                    entry.directory.instances.update(
+                        other_name, record, self.now
+                    )
+            for server in self.servers.values():
+                if (name, server.server_id) not in self.missing_records:
+                    record = server._replace(
+                        sequence=round(self.now * 1000) + 1
+                    )
+                    entry.directory.servers.update(
+                        server.server_id, record, self.now
+                    )
+            entry.directory.expire(self.now)
 
     def in_use(self):
-        """Return the slots in use by server, at all processes that live."""
+        """Return the slots in use by server, over all live entries."""
         used = dict.fromkeys(self.servers, 0)
         for name, entry in self.entries.items():
             if name in self.dead:
                 continue
-            for hold in entry.node.holder.held_slots():
-                one = self.servers[hold.server_id]
-                if hold.server_incarnation == one.incarnation:
-                    used[hold.server_id] += 1
+            for slot in entry.node.holder.held_slots():
+                server = self.servers[slot.server_id]
+                if slot.server_incarnation == server.incarnation:
+                    used[slot.server_id] += 1
         return used
 
     def check(self):
-        """Assert that no server has more in flight than slots."""
+        """Assert that no server has more requests in flight than slots."""
         for server_id, used in self.in_use().items():
             slots = self.servers[server_id].slots
             assert used <= slots, (self.now, server_id, used)
 
     def grantors(self):
-        """Return the names of the live entries that grant."""
+        """Return the names of the live entries that grant slots."""
         key = messages.PoolRegion("ledger", "dar")
         return [
             name
