--- a/tests/steps/core/balancing/health_steps.py
+++ b/tests/steps/core/balancing/health_steps.py
@@ -14,43 +14,43 @@
     context.now = 0.0
     context.warm_up_s = float(warm_up)
     context.health = health.HealthTracker(0.0)
-    context.words = {
+    context.servers = {
         f"s{n}": fake_entries.server(f"s{n}") for n in range(count)
     }
-    for word in context.words.values():
-        context.health.update_server(word, 0.0)
+    for server in context.servers.values():
+        context.health.update_server(server, 0.0)
 
 
 def _limits(context):
-    words = list(context.words.values())
-    return context.health.slot_limits(words, context.warm_up_s, context.now)
+    servers = list(context.servers.values())
+    return context.health.slot_limits(servers, context.warm_up_s, context.now)
 
 
-def _done(context, name, kind, seconds=0.05, times=1):
+def _record_results(context, name, kind, seconds=0.05, times=1):
     for _ in range(times):
-        done = messages.AttemptResult(kind, seconds)
-        context.health.record_result(name, done, context.now)
+        result = messages.AttemptResult(kind, seconds)
+        context.health.record_result(name, result, context.now)
 
 
 @when('server "{name}" fails {times:d} times')
 def _(context, name, times):
-    _done(context, name, "failed", times=times)
+    _record_results(context, name, "failed", times=times)
 
 
 @when('server "{name}" refuses {times:d} times')
 def _(context, name, times):
-    _done(context, name, "shed", times=times)
+    _record_results(context, name, "shed", times=times)
 
 
 @when('server "{name}" answers once')
 def _(context, name):
-    _done(context, name, "answered")
+    _record_results(context, name, "answered")
 
 
 @when("every server fails {times:d} times")
 def _(context, times):
-    for name in context.words:
-        _done(context, name, "failed", times=times)
+    for name in context.servers:
+        _record_results(context, name, "failed", times=times)
 
 
 @when(
@@ -58,32 +58,32 @@
     ' but "{name}" in {slow:g} s'
 )
 def _(context, times, usual, name, slow):
-    for one in context.words:
-        seconds = slow if one == name else usual
-        _done(context, one, "answered", seconds, times)
+    for server_id in context.servers:
+        seconds = slow if server_id == name else usual
+        _record_results(context, server_id, "answered", seconds, times)
 
 
-@when("{seconds:d} s pass for health")
+@when("{seconds:d} s pass in the health tracker")
 def _(context, seconds):
     context.now += seconds
 
 
-@when('server "{name}" starts anew')
+@when('server "{name}" restarts')
 def _(context, name):
-    word = fake_entries.server(name, incarnation=2)
-    context.words[name] = word
-    context.health.update_server(word, context.now)
+    server = fake_entries.server(name, incarnation=2)
+    context.servers[name] = server
+    context.health.update_server(server, context.now)
 
 
-@when('server "{name}" is used')
+@when('a request is sent to server "{name}"')
 def _(context, name):
     context.health.record_use(name, context.warm_up_s, context.now)
 
 
 @then('the slots of "{name}" are {count:d} and all others {others:d}')
 def _(context, name, count, others):
-    wanted = dict.fromkeys(context.words, others) | {name: count}
-    assert _limits(context) == wanted, _limits(context)
+    expected = dict.fromkeys(context.servers, others) | {name: count}
+    assert _limits(context) == expected, _limits(context)
 
 
 @then("{count:d} servers have no slots")
--- a/tests/steps/core/balancing/subset_steps.py
+++ b/tests/steps/core/balancing/subset_steps.py
@@ -17,10 +17,11 @@
             name, "ledger-1", names, connections, SLOTS
         )
     ]
-    each = subset.connections_per_entry(connections, SLOTS, len(keeping))
+    per_entry = subset.connections_per_entry(connections, SLOTS, len(keeping))
     assert keeping
-    assert each >= min(subset.MIN_CONNECTIONS_PER_ENTRY, connections - SLOTS), (
-        each
-    )
-    # The others open one for a granted request, and there are only so many.
-    assert len(keeping) * each + SLOTS <= connections
+    assert per_entry >= min(
+        subset.MIN_CONNECTIONS_PER_ENTRY, connections - SLOTS
+    ), per_entry
+    # The other entries open a connection for a granted slot, so there are at
+    # most as many of these connections as slots.
+    assert len(keeping) * per_entry + SLOTS <= connections
