--- a/hyssopfold/core/balancing/election.py
+++ b/hyssopfold/core/balancing/election.py
@@ -58,18 +58,18 @@
     reported slots, and withholds the others until control is reachable again.
 
     Args:
-        key: The pool and region whose slots are granted.
+        pool_region: The pool and region whose slots are granted.
         me: This incarnation of the entry.
         control: Names of the control instances.
     """
 
     def __init__(
         self,
-        key: messages.PoolRegion,
+        pool_region: messages.PoolRegion,
         me: messages.Member,
         control: Collection[str],
     ) -> None:
-        self.key = key
+        self.pool_region = pool_region
         self.term = 0
         self.members: Members = ()
         self.standalone = False
@@ -286,7 +286,7 @@
         is_confirmed = self._confirmed_versions.get(name) == version
         members = None if is_confirmed or not version else self.members
         claim = messages.Claim(
-            self.key,
+            self.pool_region,
             self.term,
             self._me,
             self._round,
--- a/hyssopfold/core/balancing/grantor.py
+++ b/hyssopfold/core/balancing/grantor.py
@@ -34,7 +34,7 @@
 
     Args:
         won: The term and the slots that its members reported.
-        key: The pool and region whose slots are granted.
+        pool_region: The pool and region whose slots are granted.
         health_tracker: Health of the servers, kept from term to term.
         rng: Random source that spreads retry-after times.
         now: Monotonic seconds.
@@ -43,7 +43,7 @@
     def __init__(
         self,
         won: election.WonTerm,
-        key: messages.PoolRegion,
+        pool_region: messages.PoolRegion,
         health_tracker: health.HealthTracker,
         rng: random.Random,
         now: float,
@@ -59,7 +59,7 @@
         self.me: messages.Member | None = None
         self.own_limit = 0
         self.term = won.term
-        self._key = key
+        self._pool_region = pool_region
         self._health = health_tracker
         self._rng = rng
         self._queue: queue.Queue[messages.SlotRequest] = queue.Queue()
@@ -132,7 +132,7 @@
             # the holder releases it when it no longer waits for it.
             return []
         granted = messages.SlotGranted(
-            self._key, self.term, request.holder, request.number, server
+            self._pool_region, self.term, request.holder, request.number, server
         )
         return [messages.Send(request.holder.name, granted)]
 
@@ -147,7 +147,7 @@
         self._last_granted[server.server_id] = self._grant_count
         self._health.record_use(server.server_id, self._warm_up_s, now)
         granted = messages.SlotGranted(
-            self._key, self.term, request.holder, request.number, server
+            self._pool_region, self.term, request.holder, request.number, server
         )
         return [messages.Send(request.holder.name, granted)]
 
@@ -158,7 +158,11 @@
         # Callers that were refused together must not retry together.
         retry_after_s = wait_s * self._rng.uniform(1.0, 2.0)
         denied = messages.SlotDenied(
-            self._key, request.holder, request.number, reason, retry_after_s
+            self._pool_region,
+            request.holder,
+            request.number,
+            reason,
+            retry_after_s,
         )
         return messages.Send(request.holder.name, denied)
 
--- a/hyssopfold/core/balancing/holder.py
+++ b/hyssopfold/core/balancing/holder.py
@@ -109,11 +109,11 @@
         """Request a slot in the next region, or refuse if none is left."""
         for index in range(region_index, len(req.regions)):
             region = req.regions[index]
-            key = messages.PoolRegion(req.pool, region.name)
-            recipient = self.grantor_name(key, now)
+            pool_region = messages.PoolRegion(req.pool, region.name)
+            recipient = self.grantor_name(pool_region, now)
             max_wait_s = MAX_WAIT_S
             if recipient is None:
-                recipient = self._likely_grantor(key)
+                recipient = self._likely_grantor(pool_region)
                 max_wait_s = MAX_WAIT_NO_GRANTOR_S
             wait_s = min(max_wait_s, (req.deadline - now) / 2)
             if recipient is None or wait_s <= 0:
@@ -121,7 +121,7 @@
                 continue
             self._last_number += 1
             slot_request = messages.SlotRequest(
-                key,
+                pool_region,
                 self._me,
                 self._last_number,
                 req.priority,
@@ -139,82 +139,86 @@
         jittered_s = retry_after_s * self._rng.uniform(1.0, 2.0)
         return [messages.Answer(ticket, messages.Refused(reason, jittered_s))]
 
-    def grantor_name(self, key: messages.PoolRegion, now: float) -> str | None:
+    def grantor_name(
+        self, pool_region: messages.PoolRegion, now: float
+    ) -> str | None:
         """Return the name of the current grantor, if there is one."""
-        heartbeat = self.last_heartbeat(key, now)
+        heartbeat = self.last_heartbeat(pool_region, now)
         return heartbeat.grantor.name if heartbeat is not None else None
 
     def last_heartbeat(
-        self, key: messages.PoolRegion, now: float
+        self, pool_region: messages.PoolRegion, now: float
     ) -> messages.GrantorHeartbeat | None:
         """Return the last heartbeat of the current grantor, if there is one."""
-        grantor = self._grantors.get(key)
+        grantor = self._grantors.get(pool_region)
         if grantor is None or now - grantor.received_at > GRANTOR_TIMEOUT_S:
             return None
-        if grantor.heartbeat.term < self._promised_terms.get(key, 0):
+        if grantor.heartbeat.term < self._promised_terms.get(pool_region, 0):
             # The slots in use were reported to a newer grantor. A release
             # sent to the old grantor would free the slot at both, and both
             # would grant it.
             return None
         return grantor.heartbeat
 
-    def highest_term(self, key: messages.PoolRegion) -> int:
+    def highest_term(self, pool_region: messages.PoolRegion) -> int:
         """Return the highest term that was promised or received."""
-        grantor = self._grantors.get(key)
+        grantor = self._grantors.get(pool_region)
         heartbeat_term = grantor.heartbeat.term if grantor is not None else 0
-        return max(self._promised_terms.get(key, 0), heartbeat_term)
+        return max(self._promised_terms.get(pool_region, 0), heartbeat_term)
 
-    def control_term(self, key: messages.PoolRegion) -> int:
+    def control_term(self, pool_region: messages.PoolRegion) -> int:
         """Return the highest received term that control granted."""
-        return self._control_terms.get(key, 0)
+        return self._control_terms.get(pool_region, 0)
 
-    def standalone_term(self, key: messages.PoolRegion) -> int:
+    def standalone_term(self, pool_region: messages.PoolRegion) -> int:
         """Return the highest received term of a standalone grantor."""
-        return self._standalone_terms.get(key, 0)
+        return self._standalone_terms.get(pool_region, 0)
 
-    def drop_grantor(self, key: messages.PoolRegion, name: str) -> None:
+    def drop_grantor(self, pool_region: messages.PoolRegion, name: str) -> None:
         """Remove a grantor that resigned or lost its term."""
-        grantor = self._grantors.get(key)
+        grantor = self._grantors.get(pool_region)
         if grantor is not None and grantor.name == name:
-            del self._grantors[key]
+            del self._grantors[pool_region]
 
     def promise(
-        self, key: messages.PoolRegion, term: int
+        self, pool_region: messages.PoolRegion, term: int
     ) -> tuple[messages.HeldSlot, ...]:
         """Refuse grants of older terms from now on; return the slots in use."""
-        self._promised_terms[key] = max(self._promised_terms.get(key, 0), term)
-        return tuple(self._held_slots.get(key, {}).values())
+        self._promised_terms[pool_region] = max(
+            self._promised_terms.get(pool_region, 0), term
+        )
+        return tuple(self._held_slots.get(pool_region, {}).values())
 
     def handle_heartbeat(
         self, heartbeat: messages.GrantorHeartbeat, now: float
     ) -> list[messages.Effect]:
         """Record the grantor; send it the slots in use and pending requests."""
-        key = heartbeat.key
-        if heartbeat.term < self.highest_term(key):
+        pool_region = heartbeat.pool_region
+        if heartbeat.term < self.highest_term(pool_region):
             return []
         grantor = _KnownGrantor(heartbeat, now)
-        self._grantors[key] = grantor
+        self._grantors[pool_region] = grantor
         terms = (
             self._standalone_terms
             if heartbeat.standalone
             else self._control_terms
         )
-        terms[key] = heartbeat.term
-        held_slots = self._held_slots.get(key, {})
+        terms[pool_region] = heartbeat.term
+        held_slots = self._held_slots.get(pool_region, {})
         numbers = tuple(
             number
             for number, pending in self._pending.items()
-            if pending.slot_request.key == key
+            if pending.slot_request.pool_region == pool_region
         )
-        if not held_slots and not numbers and key not in self._unsynced:
+        if not held_slots and not numbers and pool_region not in self._unsynced:
             return []
         # One more sync is sent after the last slot was released, in case the
         # release was lost.
-        self._unsynced.discard(key)
+        self._unsynced.discard(pool_region)
         if held_slots or numbers:
-            self._unsynced.add(key)
+            self._unsynced.add(pool_region)
         sync = messages.SlotSync(
-            key,
+            pool_region,
             self._me,
             self._last_number,
             tuple(held_slots.values()),
@@ -229,25 +233,25 @@
         if granted.holder != self._me:
             # Addressed to an earlier incarnation, which used the same numbers.
             return []
-        key, number = granted.key, granted.number
-        if number in self._held_slots.get(key, {}):
+        pool_region, number = granted.pool_region, granted.number
+        if number in self._held_slots.get(pool_region, {}):
             return []
-        if granted.term < self._promised_terms.get(key, 0):
+        if granted.term < self._promised_terms.get(pool_region, 0):
             # A newer grantor already counts this slot as free.
             return []
         pending = self._pending.pop(number, None)
         if pending is None:
-            return [self._return_slot(sender, key, number)]
+            return [self._return_slot(sender, pool_region, number)]
         if not self._accepts_work(granted.server):
-            effects = [self._return_slot(sender, key, number)]
+            effects = [self._return_slot(sender, pool_region, number)]
             pending = _excluding(pending, granted.server.server_id)
             return effects + self._retry_region(pending, "server-left", now)
-        self._promised_terms[key] = granted.term
+        self._promised_terms[pool_region] = granted.term
         server = granted.server
         slot = messages.HeldSlot(number, server.server_id, server.incarnation)
-        self._held_slots.setdefault(key, {})[number] = slot
+        self._held_slots.setdefault(pool_region, {})[number] = slot
         reason = "moved" if pending.slot_request.moved else "home"
-        grant = messages.Grant(server, reason, key, number)
+        grant = messages.Grant(server, reason, pool_region, number)
         return [messages.Answer(pending.ticket, grant)]
 
     def _retry_region(
@@ -264,10 +268,10 @@
         )
 
     def _return_slot(
-        self, to: str, key: messages.PoolRegion, number: int
+        self, to: str, pool_region: messages.PoolRegion, number: int
     ) -> messages.Effect:
         result = messages.AttemptResult("cancelled", 0.0)
-        release = messages.SlotRelease(key, self._me, number, result)
+        release = messages.SlotRelease(pool_region, self._me, number, result)
         return messages.Send(to, release)
 
     def handle_denied(
@@ -301,16 +305,18 @@
         Raises:
             AssertionError: when the slot is not in use.
         """
-        key = grant.key
-        if key is None:
+        pool_region = grant.pool_region
+        if pool_region is None:
             return []
-        slot = self._held_slots.get(key, {}).pop(grant.number, None)
+        slot = self._held_slots.get(pool_region, {}).pop(grant.number, None)
         assert slot is not None, grant
-        self._unsynced.add(key)
-        grantor_name = self.grantor_name(key, now)
+        self._unsynced.add(pool_region)
+        grantor_name = self.grantor_name(pool_region, now)
         if grantor_name is None:
             return []
-        release = messages.SlotRelease(key, self._me, grant.number, result)
+        release = messages.SlotRelease(
+            pool_region, self._me, grant.number, result
+        )
         return [messages.Send(grantor_name, release)]
 
     def cancel(self, ticket: int, now: float) -> list[messages.Effect]:
@@ -324,13 +330,15 @@
     def _withdraw(
         self, pending: _PendingRequest, now: float
     ) -> list[messages.Effect]:
-        key = pending.slot_request.key
-        self._unsynced.add(key)
-        grantor_name = self.grantor_name(key, now)
+        pool_region = pending.slot_request.pool_region
+        self._unsynced.add(pool_region)
+        grantor_name = self.grantor_name(pool_region, now)
         if grantor_name is None:
             return []
         return [
-            self._return_slot(grantor_name, key, pending.slot_request.number)
+            self._return_slot(
+                grantor_name, pool_region, pending.slot_request.number
+            )
         ]
 
     def tick(self, now: float) -> list[messages.Effect]:
@@ -345,10 +353,10 @@
                 self._pending[number] = pending._replace(
                     resend_at=now + RESEND_INTERVAL_S
                 )
-                key = pending.slot_request.key
-                recipient = self.grantor_name(key, now) or self._likely_grantor(
-                    key
-                )
+                pool_region = pending.slot_request.pool_region
+                recipient = self.grantor_name(
+                    pool_region, now
+                ) or self._likely_grantor(pool_region)
                 if recipient is not None:
                     effects.append(
                         messages.Send(recipient, pending.slot_request)
@@ -359,7 +367,7 @@
         self, pending: _PendingRequest, now: float
     ) -> list[messages.Effect]:
         grantor_is_known = (
-            self.grantor_name(pending.slot_request.key, now) is not None
+            self.grantor_name(pending.slot_request.pool_region, now) is not None
         )
         return self._request_slot(
             pending.ticket,
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -49,7 +49,7 @@
 class Grant(NamedTuple):
     """A slot of a server, in use until it is released.
 
-    `key` and `number` identify the slot between holder and grantor.
+    `pool_region` and `number` identify the slot between holder and grantor.
     `estimated_load` is the server's load as the choice assumed it, as a
     multiple of its slots, and `load_age_s` the age of the server's own load
     report in seconds. `expected_s` is the expected time until the answer.
@@ -60,7 +60,7 @@
 
     server: membership.Server
     reason: str
-    key: "PoolRegion | None" = None
+    pool_region: "PoolRegion | None" = None
     number: int = 0
     estimated_load: float = 0.0
     load_age_s: float = NEVER_S
@@ -158,7 +158,7 @@
     the candidate fails, its successor withholds no more than these.
     """
 
-    key: PoolRegion
+    pool_region: PoolRegion
     term: int
     candidate: Member
     round: int
@@ -179,7 +179,7 @@
     `standalone_term` the highest of a grantor without such a majority.
     """
 
-    key: PoolRegion
+    pool_region: PoolRegion
     term: int
     candidate: Member
     voter: Member
@@ -199,7 +199,7 @@
 class Resign(NamedTuple):
     """Message: the grantor stops granting; a successor may take over."""
 
-    key: PoolRegion
+    pool_region: PoolRegion
     term: int
     candidate: Member
 
@@ -210,7 +210,7 @@
     `standalone` is set when no majority of control granted the term.
     """
 
-    key: PoolRegion
+    pool_region: PoolRegion
     term: int
     grantor: Member
     standalone: bool
@@ -219,7 +219,7 @@
 class SlotRequest(NamedTuple):
     """Message: a holder requests a slot and waits `wait_s` seconds for it."""
 
-    key: PoolRegion
+    pool_region: PoolRegion
     holder: Member
     number: int
     priority: int
@@ -233,7 +233,7 @@
 class SlotGranted(NamedTuple):
     """Message: a slot is granted to request `number` of this holder."""
 
-    key: PoolRegion
+    pool_region: PoolRegion
     term: int
     holder: Member
     number: int
@@ -243,7 +243,7 @@
 class SlotDenied(NamedTuple):
     """Message: request `number` gets no slot and is dropped."""
 
-    key: PoolRegion
+    pool_region: PoolRegion
     holder: Member
     number: int
     reason: str
@@ -253,7 +253,7 @@
 class SlotRelease(NamedTuple):
     """Message: a holder returns a slot or withdraws a slot request."""
 
-    key: PoolRegion
+    pool_region: PoolRegion
     holder: Member
     number: int
     attempt_result: AttemptResult
@@ -267,7 +267,7 @@
     `highest_number` that arrive later are late and must be ignored.
     """
 
-    key: PoolRegion
+    pool_region: PoolRegion
     holder: Member
     highest_number: int
     held_slots: tuple[HeldSlot, ...]
--- a/hyssopfold/core/balancing/node.py
+++ b/hyssopfold/core/balancing/node.py
@@ -83,7 +83,7 @@
     control: tuple[str, ...]
 
 
-class _KeyState(NamedTuple):
+class _PoolState(NamedTuple):
     """The state of one pool in this region, as this entry sees it."""
 
     election: election.Election
@@ -115,7 +115,7 @@
         self._started = now
         self._leaving = False
         self._pools: Mapping[str, tables.Pool] = {}
-        self._states: dict[messages.PoolRegion, _KeyState] = {}
+        self._states: dict[messages.PoolRegion, _PoolState] = {}
         self._grantors: dict[messages.PoolRegion, grantor.Grantor] = {}
         self._pending_members: dict[
             messages.PoolRegion, set[messages.Member]
@@ -148,17 +148,21 @@
                 outgoing.append(effect)
         return outgoing
 
-    def own_grantor(self, key: messages.PoolRegion) -> grantor.Grantor | None:
+    def own_grantor(
+        self, pool_region: messages.PoolRegion
+    ) -> grantor.Grantor | None:
         """Return the grantor of a pool in a region if it is this entry."""
-        state = self._states.get(key)
+        state = self._states.get(pool_region)
         if state is None or not state.election.leading:
             return None
-        return self._grantors.get(key)
+        return self._grantors.get(pool_region)
 
-    def granted_keys(self) -> list[messages.PoolRegion]:
+    def granted_pools(self) -> list[messages.PoolRegion]:
         """Return the pools and regions whose slots this entry grants."""
         return [
-            key for key, state in self._states.items() if state.election.leading
+            pool_region
+            for pool_region, state in self._states.items()
+            if state.election.leading
         ]
 
     def _accepts_work(self, server: membership.Server) -> bool:
@@ -176,14 +180,14 @@
             if entry.region == region
         ]
 
-    def _candidates(self, key: messages.PoolRegion) -> list[str]:
-        names = set(self._region_entries(key.region))
-        if key.region == self._cfg.region and not self._leaving:
+    def _candidates(self, pool_region: messages.PoolRegion) -> list[str]:
+        names = set(self._region_entries(pool_region.region))
+        if pool_region.region == self._cfg.region and not self._leaving:
             names.add(self._cfg.me.name)
-        return sorted(names, key=lambda name: _weight(key, name))
+        return sorted(names, key=lambda name: _weight(pool_region, name))
 
-    def _first_candidate(self, key: messages.PoolRegion) -> str | None:
-        candidates = self._candidates(key)
+    def _first_candidate(self, pool_region: messages.PoolRegion) -> str | None:
+        candidates = self._candidates(pool_region)
         return candidates[0] if candidates else None
 
     def tick(self, now: float) -> list[messages.Effect]:
@@ -191,78 +195,85 @@
         for entry in self._directory.instances.words():
             self._last_listed_at[entry.name] = now
         effects = self.holder.tick(now)
-        for key, servers in self._servers_by_key().items():
-            effects += self._tick_key(key, servers, now)
+        for pool_region, servers in self._servers_by_pool().items():
+            effects += self._tick_pool(pool_region, servers, now)
         return effects
 
-    def _servers_by_key(
+    def _servers_by_pool(
         self,
     ) -> dict[messages.PoolRegion, list[membership.Server]]:
-        servers_by_key: dict[messages.PoolRegion, list[membership.Server]] = {}
+        servers_by_pool: dict[messages.PoolRegion, list[membership.Server]] = {}
         # A pool that lost all its servers keeps its grantor.
-        for key in self._states:
-            if key.pool in self._pools:
-                servers_by_key[key] = []
+        for pool_region in self._states:
+            if pool_region.pool in self._pools:
+                servers_by_pool[pool_region] = []
         for server in self._directory.servers.words():
             if server.region != self._cfg.region or server.state != "ready":
                 continue
             if server.pool in self._pools:
-                key = messages.PoolRegion(server.pool, server.region)
-                servers_by_key.setdefault(key, []).append(server)
-        return servers_by_key
-
-    def _state(self, key: messages.PoolRegion, now: float) -> _KeyState:
-        if key not in self._states:
-            self._states[key] = _KeyState(
-                election.Election(key, self._cfg.me, self._cfg.control),
+                pool_region = messages.PoolRegion(server.pool, server.region)
+                servers_by_pool.setdefault(pool_region, []).append(server)
+        return servers_by_pool
+
+    def _state(
+        self, pool_region: messages.PoolRegion, now: float
+    ) -> _PoolState:
+        if pool_region not in self._states:
+            self._states[pool_region] = _PoolState(
+                election.Election(pool_region, self._cfg.me, self._cfg.control),
                 health.HealthTracker(self._started),
                 now,
             )
-        return self._states[key]
+        return self._states[pool_region]
 
-    def _tick_key(
+    def _tick_pool(
         self,
-        key: messages.PoolRegion,
+        pool_region: messages.PoolRegion,
         servers: list[membership.Server],
         now: float,
     ) -> list[messages.Effect]:
-        state = self._state(key, now)
+        state = self._state(pool_region, now)
         if state.election.idle:
-            return self._maybe_campaign(key, state, now)
-        own_grantor = self.own_grantor(key)
+            return self._maybe_campaign(pool_region, state, now)
+        own_grantor = self.own_grantor(pool_region)
         unreported = (
             {member.name for member in own_grantor.unreported_members()}
             if own_grantor
             else set()
         )
         unreported.discard(election.UNKNOWN_MEMBER.name)
-        region_entries = self._region_entries(key.region)
+        region_entries = self._region_entries(pool_region.region)
         effects, won = state.election.tick(region_entries, unreported, now)
         if won is not None:
-            effects += self._start_term(key, won, now)
-        own_grantor = self.own_grantor(key)
+            effects += self._start_term(pool_region, won, now)
+        own_grantor = self.own_grantor(pool_region)
         if own_grantor is None:
             return effects
-        pool = grantor.PoolServers(self._pools[key.pool], tuple(servers))
+        pool = grantor.PoolServers(
+            self._pools[pool_region.pool], tuple(servers)
+        )
         own_grantor.refresh(pool, now)
         own_grantor.me = self._cfg.me
         own_grantor.expire_holders(now)
         self._release_ended(own_grantor)
-        self._propose(key, state, own_grantor, now)
+        self._propose(pool_region, state, own_grantor, now)
         own_grantor.own_limit = state.election.effective_own_limit
         return (
             effects
             + own_grantor.serve_queue(now)
-            + self._send_heartbeats(key, now)
+            + self._send_heartbeats(pool_region, now)
         )
 
     def _maybe_campaign(
-        self, key: messages.PoolRegion, state: _KeyState, now: float
+        self, pool_region: messages.PoolRegion, state: _PoolState, now: float
     ) -> list[messages.Effect]:
-        if self.holder.grantor_name(key, now) is not None or self._leaving:
-            self._states[key] = state._replace(no_grantor_since=now)
+        if (
+            self.holder.grantor_name(pool_region, now) is not None
+            or self._leaving
+        ):
+            self._states[pool_region] = state._replace(no_grantor_since=now)
             return []
-        candidates = self._candidates(key)
+        candidates = self._candidates(pool_region)
         rank = candidates.index(self._cfg.me.name)
         # The first candidate claims at once: control refuses the claim while
         # another entry's term is valid. The others wait, so that not all of
@@ -273,20 +284,25 @@
             return []
         slot_holder = self.holder
         return state.election.campaign(
-            slot_holder.highest_term(key), slot_holder.control_term(key), now
+            slot_holder.highest_term(pool_region),
+            slot_holder.control_term(pool_region),
+            now,
         )
 
     def _start_term(
-        self, key: messages.PoolRegion, won: election.WonTerm, now: float
+        self,
+        pool_region: messages.PoolRegion,
+        won: election.WonTerm,
+        now: float,
     ) -> list[messages.Effect]:
-        state = self._states[key]
-        self._grantors[key] = grantor.Grantor(
-            won, key, state.health, self._rng, now
+        state = self._states[pool_region]
+        self._grantors[pool_region] = grantor.Grantor(
+            won, pool_region, state.health, self._rng, now
         )
-        self._next_heartbeat_at[key] = 0.0
+        self._next_heartbeat_at[pool_region] = 0.0
         fields = (
-            ("pool", key.pool),
-            ("region", key.region),
+            ("pool", pool_region.pool),
+            ("region", pool_region.region),
             ("term", won.term),
             ("reports", len(won.reports)),
             ("silent", len(won.unreported)),
@@ -304,8 +320,8 @@
 
     def _propose(
         self,
-        key: messages.PoolRegion,
-        state: _KeyState,
+        pool_region: messages.PoolRegion,
+        state: _PoolState,
         own_grantor: grantor.Grantor,
         now: float,
     ) -> None:
@@ -317,9 +333,9 @@
         ready_members = {
             messages.Member(entry.name, entry.incarnation)
             for entry in self._directory.ready_entries()
-            if entry.region == key.region
+            if entry.region == pool_region.region
         }
-        requesters = self._pending_members.pop(key, set())
+        requesters = self._pending_members.pop(pool_region, set())
         slot_holders = own_grantor.ledger.holders() - {election.UNKNOWN_MEMBER}
         recent_members = {
             member
@@ -335,7 +351,7 @@
             | recent_members
             | {self._cfg.me}
         )
-        row = self._pools[key.pool]
+        row = self._pools[pool_region.pool]
         quota = max(1, row.slots // OWN_SHARE_DIVISOR)
         intended_limit = quota if len(members) > 1 else row.slots
         own_limit = max(
@@ -350,19 +366,19 @@
         return record is None or record.incarnation <= member.incarnation
 
     def _send_heartbeats(
-        self, key: messages.PoolRegion, now: float
+        self, pool_region: messages.PoolRegion, now: float
     ) -> list[messages.Effect]:
-        if now < self._next_heartbeat_at.get(key, 0.0):
+        if now < self._next_heartbeat_at.get(pool_region, 0.0):
             return []
-        current_election = self._states[key].election
+        current_election = self._states[pool_region].election
         heartbeat = messages.GrantorHeartbeat(
-            key,
+            pool_region,
             current_election.term,
             self._cfg.me,
             current_election.standalone,
         )
         members = {member.name for member in current_election.members}
-        names = sorted(members.union(self._region_entries(key.region)))
+        names = sorted(members.union(self._region_entries(pool_region.region)))
         interval_s = (
             LARGE_HEARTBEAT_INTERVAL_S
             if len(names) > LARGE_MEMBER_COUNT
@@ -370,7 +386,7 @@
         )
         # Ticks come slightly early or late: a heartbeat is due on the tick
         # nearest to the interval's end.
-        self._next_heartbeat_at[key] = now + interval_s - HALF_TICK_S
+        self._next_heartbeat_at[pool_region] = now + interval_s - HALF_TICK_S
         return [messages.Send(name, heartbeat) for name in names]
 
     def handle_claim(
@@ -379,38 +395,38 @@
         """Vote on a claim; a granted vote reports the slots in use here."""
         vote = self.voter.vote(claim, now)
         if vote.granted:
-            held_slots = self.holder.promise(claim.key, claim.term)
-            control_term = self.holder.control_term(claim.key)
-            standalone_term = self.holder.standalone_term(claim.key)
+            held_slots = self.holder.promise(claim.pool_region, claim.term)
+            control_term = self.holder.control_term(claim.pool_region)
+            standalone_term = self.holder.standalone_term(claim.pool_region)
             vote = vote._replace(
                 held_slots=held_slots,
                 control_term=control_term,
                 standalone_term=standalone_term,
             )
-        state = self._states.get(claim.key)
+        state = self._states.get(claim.pool_region)
         if state is not None:
-            self._observe_term(claim.key, state, vote.promised)
+            self._observe_term(claim.pool_region, state, vote.promised)
         return [messages.Send(claim.candidate.name, vote)]
 
     def _observe_term(
-        self, key: messages.PoolRegion, state: _KeyState, term: int
+        self, pool_region: messages.PoolRegion, state: _PoolState, term: int
     ) -> None:
         if state.election.observe_term(term):
-            self.holder.drop_grantor(key, self._cfg.me.name)
+            self.holder.drop_grantor(pool_region, self._cfg.me.name)
 
     def handle_vote(
         self, vote: messages.Vote, now: float
     ) -> list[messages.Effect]:
         """Count a vote, and the slots of a report that was missing."""
-        state = self._states.get(vote.key)
+        state = self._states.get(vote.pool_region)
         if state is None:
             return []
-        self._observe_term(vote.key, state, vote.promised)
-        region_entries = self._region_entries(vote.key.region)
+        self._observe_term(vote.pool_region, state, vote.promised)
+        region_entries = self._region_entries(vote.pool_region.region)
         effects, won = state.election.record_vote(vote, region_entries, now)
         if won is not None:
-            return effects + self._start_term(vote.key, won, now)
-        own_grantor = self.own_grantor(vote.key)
+            return effects + self._start_term(vote.pool_region, won, now)
+        own_grantor = self.own_grantor(vote.pool_region)
         is_own = vote.candidate == self._cfg.me
         is_current = (
             is_own and vote.granted and vote.term == state.election.term
@@ -428,14 +444,14 @@
         self, heartbeat: messages.GrantorHeartbeat, sender: str, now: float
     ) -> list[messages.Effect]:
         """Record the grantor; redirect a grantor of an older term."""
-        state = self._states.get(heartbeat.key)
+        state = self._states.get(heartbeat.pool_region)
         if state is not None:
-            self._observe_term(heartbeat.key, state, heartbeat.term)
-        if heartbeat.term < self.holder.highest_term(heartbeat.key):
-            return self._redirect(heartbeat.key, sender, now)
+            self._observe_term(heartbeat.pool_region, state, heartbeat.term)
+        if heartbeat.term < self.holder.highest_term(heartbeat.pool_region):
+            return self._redirect(heartbeat.pool_region, sender, now)
         effects = self.holder.handle_heartbeat(heartbeat, now)
         is_accepted = (
-            self.holder.grantor_name(heartbeat.key, now)
+            self.holder.grantor_name(heartbeat.pool_region, now)
             == heartbeat.grantor.name
         )
         is_other = heartbeat.grantor != self._cfg.me
@@ -450,9 +466,9 @@
         return effects
 
     def _redirect(
-        self, key: messages.PoolRegion, to: str, now: float
+        self, pool_region: messages.PoolRegion, to: str, now: float
     ) -> list[messages.Effect]:
-        heartbeat = self.holder.last_heartbeat(key, now)
+        heartbeat = self.holder.last_heartbeat(pool_region, now)
         if heartbeat is None or heartbeat.grantor.name == to:
             return []
         return [messages.Send(to, heartbeat)]
@@ -461,18 +477,18 @@
         self, slot_request: messages.SlotRequest, now: float
     ) -> list[messages.Effect]:
         """Serve a slot request, or redirect it to the current grantor."""
-        own_grantor = self.own_grantor(slot_request.key)
+        own_grantor = self.own_grantor(slot_request.pool_region)
         if own_grantor is None:
             return self._redirect(
-                slot_request.key, slot_request.holder.name, now
+                slot_request.pool_region, slot_request.holder.name, now
             )
-        if self._states[slot_request.key].election.may_hold_slots(
+        if self._states[slot_request.pool_region].election.may_hold_slots(
             slot_request.holder
         ):
             return own_grantor.handle_request(slot_request, now)
         # The holder sends the request again. It is answered once control has
         # accepted this member in the list.
-        self._pending_members.setdefault(slot_request.key, set()).add(
+        self._pending_members.setdefault(slot_request.pool_region, set()).add(
             slot_request.holder
         )
         return []
@@ -481,13 +497,15 @@
         """Stop granting, so that another entry can take over at once."""
         self._leaving = True
         effects: list[messages.Effect] = []
-        for key in self.granted_keys():
-            state = self._states[key]
-            effects += self._grantors[key].deny_all(now)
+        for pool_region in self.granted_pools():
+            state = self._states[pool_region]
+            effects += self._grantors[pool_region].deny_all(now)
             state.election.step_down()
-            resign = messages.Resign(key, state.election.term, self._cfg.me)
+            resign = messages.Resign(
+                pool_region, state.election.term, self._cfg.me
+            )
             names = set(self._cfg.control).union(
-                self._region_entries(key.region)
+                self._region_entries(pool_region.region)
             )
             effects += [messages.Send(name, resign) for name in sorted(names)]
         return effects
@@ -499,8 +517,8 @@
     return isinstance(effect, messages.Send) and effect.to == name
 
 
-def _weight(key: messages.PoolRegion, name: str) -> bytes:
-    text = f"{key.pool} {key.region} {name}".encode()
+def _weight(pool_region: messages.PoolRegion, name: str) -> bytes:
+    text = f"{pool_region.pool} {pool_region.region} {name}".encode()
     return hashlib.blake2b(text, digest_size=8).digest()
 
 
@@ -567,7 +585,7 @@
     message: messages.Resign, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
     node.voter.resign(message, now)
-    node.holder.drop_grantor(message.key, message.candidate.name)
+    node.holder.drop_grantor(message.pool_region, message.candidate.name)
     return []
 
 
@@ -603,7 +621,7 @@
 def _(
     message: messages.SlotRelease, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
-    own_grantor = node.own_grantor(message.key)
+    own_grantor = node.own_grantor(message.pool_region)
     return own_grantor.release(message, now) if own_grantor is not None else []
 
 
@@ -620,5 +638,5 @@
 def _(
     message: messages.SlotSync, node: Node, sender: str, now: float
 ) -> list[messages.Effect]:
-    own_grantor = node.own_grantor(message.key)
+    own_grantor = node.own_grantor(message.pool_region)
     return own_grantor.sync(message, now) if own_grantor is not None else []
--- a/hyssopfold/core/balancing/voter.py
+++ b/hyssopfold/core/balancing/voter.py
@@ -59,8 +59,8 @@
         self._lease_s = lease_s
         self._votes_from = started + lease_s
         self._states = {
-            key: state._replace(until=0.0)
-            for key, state in (states or {}).items()
+            pool_region: state._replace(until=0.0)
+            for pool_region, state in (states or {}).items()
         }
         self.changed = False
 
@@ -69,25 +69,27 @@
         self.changed = False
         return dict(self._states)
 
-    def promised_term(self, key: messages.PoolRegion) -> int:
+    def promised_term(self, pool_region: messages.PoolRegion) -> int:
         """Return the highest promised term."""
-        return self._states.get(key, _NO_STATE).term
+        return self._states.get(pool_region, _NO_STATE).term
 
-    def members(self, key: messages.PoolRegion) -> tuple[messages.Member, ...]:
+    def members(
+        self, pool_region: messages.PoolRegion
+    ) -> tuple[messages.Member, ...]:
         """Return the newest accepted list of members."""
-        return self._states.get(key, _NO_STATE).members
+        return self._states.get(pool_region, _NO_STATE).members
 
     def vote(self, claim: messages.Claim, now: float) -> messages.Vote:
         """Return the vote on a claim; the lease of a granted one begins now."""
-        state = self._states.get(claim.key, _NO_STATE)
+        state = self._states.get(claim.pool_region, _NO_STATE)
         granted = self._may_grant(claim, state, now)
         if granted:
             previous = state
             state = _accept(claim, state, now + self._lease_s)
-            self._states[claim.key] = state
+            self._states[claim.pool_region] = state
             self.changed |= state._replace(until=previous.until) != previous
         return messages.Vote(
-            claim.key,
+            claim.pool_region,
             claim.term,
             claim.candidate,
             self._me,
@@ -106,11 +108,11 @@
 
     def resign(self, resign: messages.Resign, now: float) -> None:
         """End the lease of a grantor that resigned."""
-        state = self._states.get(resign.key)
+        state = self._states.get(resign.pool_region)
         if state is None or state.term != resign.term:
             return
         if state.candidate == resign.candidate:
-            self._states[resign.key] = state._replace(until=now)
+            self._states[resign.pool_region] = state._replace(until=now)
 
     def _may_grant(
         self, claim: messages.Claim, state: VoteState, now: float
--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -13,7 +13,7 @@
 from hyssopfold.core.balancing import node
 from tests.support import fake_entries
 
-KEY = messages.PoolRegion("ledger", "dar")
+POOL_REGION = messages.PoolRegion("ledger", "dar")
 
 
 @given("placement of {entries:d} entries over {servers:d} servers")
@@ -137,7 +137,7 @@
 
 def _grantor(world):
     (name,) = world.grantors()
-    return world.entries[name].node.own_grantor(KEY)
+    return world.entries[name].node.own_grantor(POOL_REGION)
 
 
 @then("another entry grants, and the dead entry's slots are withheld")
@@ -214,8 +214,8 @@
     world.run(1)
     context.entry = world.entries[name]
     holder = context.entry.node.holder
-    context.term = holder.highest_term(KEY) + 1
-    assert len(holder.promise(KEY, context.term)) == 1
+    context.term = holder.highest_term(POOL_REGION) + 1
+    assert len(holder.promise(POOL_REGION, context.term)) == 1
 
 
 @then("its release is not sent before the newer grantor's first heartbeat")
@@ -225,7 +225,7 @@
     done = messages.AttemptResult("answered", 0.05)
     assert entry.node.handle(node.Release(grant, done), now) == []
     newer = messages.Member("e9", 99)
-    beat = messages.GrantorHeartbeat(KEY, context.term, newer, False)
+    beat = messages.GrantorHeartbeat(POOL_REGION, context.term, newer, False)
     effects = entry.node.handle(node.Received("e9", beat), now)
     assert [(effect.to, effect.message.held_slots) for effect in effects] == [
         ("e9", ())
@@ -242,7 +242,7 @@
     (number,) = holder.pending_numbers()
     earlier = messages.Member(entry.me.name, entry.me.incarnation - 1)
     granted = messages.SlotGranted(
-        KEY, 99, earlier, number, fake_entries.server("s0")
+        POOL_REGION, 99, earlier, number, fake_entries.server("s0")
     )
     world.submit(context.name, node.Received("e9", granted))
 
--- a/tests/support/fake_entries.py
+++ b/tests/support/fake_entries.py
@@ -265,9 +265,10 @@
 
     def grantors(self):
         """Return the names of the live entries that grant slots."""
-        key = messages.PoolRegion("ledger", "dar")
+        pool_region = messages.PoolRegion("ledger", "dar")
         return [
             name
             for name, entry in self.entries.items()
-            if name not in self.dead and entry.node.own_grantor(key) is not None
+            if name not in self.dead
+            and entry.node.own_grantor(pool_region) is not None
         ]
