--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -79,10 +79,10 @@
         for answer in entry.answers.values()
     ]
     refused = [
-        answer for answer in answers if isinstance(answer, messages.Refused)
+        result for result in answers if isinstance(result, messages.Refused)
     ]
     assert len(refused) == len(answers) - count
-    assert all(answer.retry_after_s > 0 for answer in refused)
+    assert all(result.retry_after_s > 0 for result in refused)
 
 
 @then("{count:d} slots are in use in all")
