--- a/hyssopfold/core/balancing/election.py
+++ b/hyssopfold/core/balancing/election.py
@@ -21,7 +21,7 @@
 
 
 class WonTerm(NamedTuple):
-    """A term that was won, with the members' reports.
+    """A term that this entry won, with the members' reports.
 
     `reports` lists the slots in use by member. The `unreported` members may
     use slots that were not reported. `previous_grantor` is the previous
@@ -168,7 +168,7 @@
         self._proposed_own_limit = own_limit
 
     def observe_term(self, term: int) -> bool:
-        """Record a term of another entry; return whether it ends this one's."""
+        """Record another entry's term; return whether this entry lost its own."""
         self._highest_term = max(self._highest_term, term)
         if term <= self.term or self.idle:
             return False
--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -225,8 +225,10 @@
     done = messages.AttemptResult("answered", 0.05)
     assert entry.node.handle(node.Release(grant, done), now) == []
     newer = messages.Member("e9", 99)
-    beat = messages.GrantorHeartbeat(POOL_REGION, context.term, newer, False)
-    effects = entry.node.handle(node.Received("e9", beat), now)
+    heartbeat = messages.GrantorHeartbeat(
+        POOL_REGION, context.term, newer, False
+    )
+    effects = entry.node.handle(node.Received("e9", heartbeat), now)
     assert [(effect.to, effect.message.held_slots) for effect in effects] == [
         ("e9", ())
     ]
@@ -412,14 +414,16 @@
         self.world.freeze(name)
 
     def _thaw(self, name, count, ones):
-        for one, entry in self.world.entries.items():
-            if entry.frozen and one not in self.world.dead:
-                self.world.thaw(one)
+        for entry_name, entry in self.world.entries.items():
+            if entry.frozen and entry_name not in self.world.dead:
+                self.world.thaw(entry_name)
                 return
 
     def _separate(self, name, count, ones):
         names = [*self.world.entries, *self.world.control_names]
-        self.world.separate(ones, [one for one in names if one not in ones])
+        self.world.separate(
+            ones, [other for other in names if other not in ones]
+        )
 
     def _heal(self, name, count, ones):
         self.world.heal()
