--- a/hyssopfold/core/balancing/election.py
+++ b/hyssopfold/core/balancing/election.py
@@ -168,7 +168,7 @@
         self._proposed_own_limit = own_limit
 
     def observe_term(self, term: int) -> bool:
-        """Record another entry's term; return whether this entry's term ends."""
+        """Record another entry's term; return whether its own ends."""
         self._highest_term = max(self._highest_term, term)
         if term <= self.term or self.idle:
             return False
