--- a/bench/capacity/placement.py
+++ b/bench/capacity/placement.py
@@ -21,7 +21,7 @@
 SERVERS = (12, 32, 71, 150)
 REQUESTS = 3000
 _UDP_BYTES = 28
-_KEY = messages.Key("ledger", "dar")
+_KEY = messages.PoolRegion("ledger", "dar")
 _POOL = tables.Pool("ledger", 3, 330, 0.2, 0.1, 4000, 0.0, tables.Drains())
 _LOAD = 0.85
 
@@ -40,15 +40,17 @@
         self.me = messages.Member("entry-001", 1_760_000_000_000)
         other = messages.Member("entry-002", 1_760_000_000_000)
         rng = random.Random(1)
-        won = election.Won(7, {}, frozenset())
-        self.grantor = grantor.Grantor(won, _KEY, health.Health(0.0), rng, 0.0)
+        won = election.WonTerm(7, {}, frozenset())
+        self.grantor = grantor.Grantor(
+            won, _KEY, health.HealthTracker(0.0), rng, 0.0
+        )
         words = tuple(_server(number) for number in range(servers))
-        self.pool = grantor.Pool(_POOL, words)
+        self.pool = grantor.PoolServers(_POOL, words)
         self.grantor.refresh(self.pool, 0.0)
         self.holder = holder.Holder(
             self.me, "dar-1", lambda _: other.name, lambda _: True, rng
         )
-        self._beat = messages.Beat(_KEY, 7, other, False)
+        self._beat = messages.GrantorHeartbeat(_KEY, 7, other, False)
         self.beat(0.0)
         self.bytes = 0
         self.messages = 0
@@ -56,7 +58,7 @@
 
     def beat(self, now: float) -> None:
         """Let the grantor be heard."""
-        self.holder.beat(self._beat, now)
+        self.holder.handle_heartbeat(self._beat, now)
 
     def wire(self, message: messages.Message) -> messages.Message:
         """Pass a message through the codec."""
@@ -76,26 +78,26 @@
         for effect in self.holder.acquire(number, req, now):
             assert isinstance(effect, messages.Send)
             ask = self.wire(effect.message)
-            assert isinstance(ask, messages.Ask)
-            for answer in self.grantor.ask(ask, now):
+            assert isinstance(ask, messages.SlotRequest)
+            for answer in self.grantor.handle_request(ask, now):
                 assert isinstance(answer, messages.Send)
                 self._take(self.wire(answer.message), now)
 
     def _take(self, message: messages.Message, now: float) -> None:
-        assert isinstance(message, messages.Granted), message
-        for effect in self.holder.granted("entry-002", message, now):
+        assert isinstance(message, messages.SlotGranted), message
+        for effect in self.holder.handle_granted("entry-002", message, now):
             assert isinstance(effect, messages.Answer)
             assert isinstance(effect.result, messages.Grant)
             self.grants.append(effect.result)
 
     def release(self, now: float) -> None:
         """Give the oldest slot back."""
-        done = messages.Done("answered", 0.05)
+        done = messages.AttemptResult("answered", 0.05)
         grant = self.grants.pop(0)
         for effect in self.holder.release(grant, done, now):
             assert isinstance(effect, messages.Send)
             release = self.wire(effect.message)
-            assert isinstance(release, messages.Release)
+            assert isinstance(release, messages.SlotRelease)
             self.grantor.release(release, now)
 
 
--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -130,10 +130,10 @@
         return messages.Grant(
             server,
             found.reason,
-            known_load=load,
+            estimated_load=load,
             load_age_s=age_s,
             expected_s=found.expected_s,
-            asked=req,
+            req=req,
             is_cold=is_cold,
         )
 
@@ -310,11 +310,11 @@
         return max(seen.requests(now), told) / max(1, server.slots)
 
     def learn(
-        self, grant: messages.Grant, done: messages.Done, now: float
+        self, grant: messages.Grant, done: messages.AttemptResult, now: float
     ) -> None:
         """Take in what a grant's answer tells of run times and objects."""
-        req, server = grant.asked, grant.server
-        if req is None or done.kind != "answered" or not done.good:
+        req, server = grant.req, grant.server
+        if req is None or done.kind != "answered" or not done.healthy:
             return
         life = (server.server_id, server.incarnation)
         if req.object_key:
@@ -326,12 +326,16 @@
         kind = estimates.Kind(req.route, server.region)
         self._estimates.observe(
             estimates.Answer(
-                kind, req.pool, req.goal_s, done.seconds, was_known, waits
+                kind, req.pool, req.goal_s, done.duration_s, was_known, waits
             )
         )
 
     def done(
-        self, server_id: str, done: messages.Done, warm_up_s: float, now: float
+        self,
+        server_id: str,
+        done: messages.AttemptResult,
+        warm_up_s: float,
+        now: float,
     ) -> None:
         """Take in how a request ended."""
         self._seen.done(server_id, done, warm_up_s, now)
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -150,7 +150,7 @@
             return events.NoSlot(answer.reason, answer.retry_after_s)
         if self._is_held(effect):
             # Since it began to wait for a slot.
-            unused = messages.Done("cancelled", 0.0, reached=False)
+            unused = messages.AttemptResult("cancelled", 0.0, connected=False)
             parts.placement.release(answer, unused)
             return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
         if not effect.tried:
@@ -294,7 +294,7 @@
         answering, self._answering = self._answering, None
         done = self._done(kind, answering)
         self._parts.placement.release(grant, done)
-        if done.good:
+        if done.healthy:
             self._parts.quarantine.answered(self._exchange.fingerprint)
         self._log_attempt(grant, done, answering)
         if kind == "failed":
@@ -319,15 +319,15 @@
 
     def _done(
         self, kind: str, answering: upstream.Answering | None
-    ) -> messages.Done:
+    ) -> messages.AttemptResult:
         took = trio.current_time() - self._granted_at
         if answering is None:
             reached = self._machine.last_sent is not events.Sent.NOT_SENT
-            return messages.Done(kind, took, reached, False)
+            return messages.AttemptResult(kind, took, reached, False)
         answer = answering.answer
         headers = {key.lower(): value for key, value in answer.headers}
         good = kind == "answered" and answer.status < SERVER_FAILURE
-        return messages.Done(
+        return messages.AttemptResult(
             kind,
             took,
             True,
@@ -369,7 +369,7 @@
             server=server.server_id,
             region=server.region,
             reason=grant.reason,
-            load=round(grant.known_load, 2),
+            load=round(grant.estimated_load, 2),
             load_age_s=answers.shown_age(grant.load_age_s),
             expected_s=round(grant.expected_s, 4),
             lease_left_s=round(lease_s, 3),
@@ -382,12 +382,12 @@
     def _log_attempt(
         self,
         grant: messages.Grant,
-        done: messages.Done,
+        done: messages.AttemptResult,
         answering: upstream.Answering | None,
     ) -> None:
         status = answering.answer.status if answering is not None else 0
         self._parts.meter.attempts.observe(
-            {"pool": self._pool.name, "result": done.kind}, done.seconds
+            {"pool": self._pool.name, "result": done.kind}, done.duration_s
         )
         self._exchange.log.add(
             logger,
@@ -396,6 +396,6 @@
             result=done.kind,
             status=status,
             sent=self._machine.last_sent.value,
-            detail="" if done.good else self._machine.last_reason,
-            took_s=round(done.seconds, 4),
+            detail="" if done.healthy else self._machine.last_reason,
+            took_s=round(done.duration_s, 4),
         )
