--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -17,13 +17,13 @@
 import math
 from typing import NamedTuple
 
-from hyssopfold.core.balancing import accusations
 from hyssopfold.core.balancing import affinity
 from hyssopfold.core.balancing import allowance
 from hyssopfold.core.balancing import estimates
 from hyssopfold.core.balancing import load_reports
 from hyssopfold.core.balancing import messages
 from hyssopfold.core.balancing import sightings
+from hyssopfold.core.balancing import silence_reports
 from hyssopfold.core.balancing import whereabouts
 from hyssopfold.core.membership import messages as membership
 
@@ -100,7 +100,7 @@
         self._seen = sightings.Sightings()
         self._pools: dict[str, _Pool] = {}
         self._allowance = allowance.Allowance(name)
-        self._accusations = accusations.Accusations()
+        self._silence_reports = silence_reports.SilenceReports()
         self._estimates = estimates.Estimates()
         self._whereabouts = whereabouts.Whereabouts()
         self._reports = load_reports.LoadReports()
@@ -273,7 +273,7 @@
         seen = self._seen.meet(server, view.now)
         if seen.resting_until > view.now:
             return False
-        if seen.is_silent(view.now) or self._accusations.is_accused(
+        if seen.is_silent(view.now) or self._silence_reports.is_confirmed(
             server_id, view.now
         ):
             return False
@@ -360,7 +360,7 @@
             server_id
             for server_id in known
             if server_id is not None
-            and self._accusations.accuse(server_id, sender, now)
+            and self._silence_reports.record(server_id, sender, now)
         )
 
     @property
@@ -390,7 +390,7 @@
         self._allowance.forget(known)
         self._whereabouts.forget(known)
         self._reports.forget(known)
-        self._accusations.forget(self._seen.forget(known))
+        self._silence_reports.forget(self._seen.forget(known))
 
 
 def _closed_domains(req: messages.Request) -> dict[str, set[str]]:
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -10,11 +10,11 @@
 
 from hyssopfold import logs
 from hyssopfold import tables
-from hyssopfold.core.balancing import accusations
 from hyssopfold.core.balancing import load_reports
 from hyssopfold.core.balancing import local
 from hyssopfold.core.balancing import messages
 from hyssopfold.core.balancing import reopened
+from hyssopfold.core.balancing import silence_reports
 from hyssopfold.core.membership import messages as membership
 from hyssopfold.transport import datagram_wire
 from hyssopfold.transport import gossip
@@ -185,7 +185,7 @@
                     "server-silent",
                     server=one,
                     by=sender,
-                    others=accusations.ACCUSERS,
-                    held_s=accusations.ACCUSED_S,
+                    others=silence_reports.MIN_REPORTERS,
+                    held_s=silence_reports.REPORT_VALID_S,
                 )
             )
