--- a/bench/emulator/ablation.py
+++ b/bench/emulator/ablation.py
@@ -17,7 +17,7 @@
 from bench.emulator import world
 from hyssopfold.core.balancing import estimates
 from hyssopfold.core.balancing import local
-from hyssopfold.core.balancing import whereabouts
+from hyssopfold.core.balancing import object_locations
 
 SECONDS = 36.0
 BURST_SPAN_S = (20.0, 25.0)
@@ -68,7 +68,10 @@
     Mechanism("bound by priority", local, "PATIENCE", (1.5,)),
     Mechanism("run times learned", estimates.Estimates, "observe", _ignore),
     Mechanism(
-        "who knows an object", whereabouts.Whereabouts, "knows", lambda *_: True
+        "who knows an object",
+        object_locations.ObjectLocations,
+        "is_cached",
+        lambda *_: True,
     ),
     Mechanism("load told by servers", local, "REPORT_S", -1.0),
     Mechanism("silent servers left", local, "SILENT_GOALS", _OFF),
--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -22,9 +22,9 @@
 from hyssopfold.core.balancing import estimates
 from hyssopfold.core.balancing import load_reports
 from hyssopfold.core.balancing import messages
+from hyssopfold.core.balancing import object_locations
 from hyssopfold.core.balancing import sightings
 from hyssopfold.core.balancing import silence_reports
-from hyssopfold.core.balancing import whereabouts
 from hyssopfold.core.membership import messages as membership
 
 # Servers that share an object; none else, whatever the load: on a server that
@@ -102,7 +102,7 @@
         self._allowance = allowance.Allowance(name)
         self._silence_reports = silence_reports.SilenceReports()
         self._estimates = estimates.Estimates()
-        self._whereabouts = whereabouts.Whereabouts()
+        self._locations = object_locations.ObjectLocations()
         self._reports = load_reports.LoadReports()
 
     def choose(
@@ -208,7 +208,7 @@
         there are entries, and these would forget others for it.
         """
         known = [
-            self._whereabouts.knows(
+            self._locations.is_cached(
                 req.object_key, (one.server_id, one.incarnation), now
             )
             for one in found
@@ -318,8 +318,8 @@
             return
         life = (server.server_id, server.incarnation)
         if req.object_key:
-            was_known = self._whereabouts.knows(req.object_key, life, now)
-            self._whereabouts.note(req.object_key, life, now)
+            was_known = self._locations.is_cached(req.object_key, life, now)
+            self._locations.record(req.object_key, life, now)
         else:
             was_known = True
         waits = done.load is not None and done.load.waiting > 0
@@ -388,7 +388,7 @@
     def forget(self, known: Collection[str]) -> None:
         """Drop the servers that are gone and have nothing under way."""
         self._allowance.forget(known)
-        self._whereabouts.forget(known)
+        self._locations.forget(known)
         self._reports.forget(known)
         self._silence_reports.forget(self._seen.forget(known))
 
--- a/hyssopfold/core/balancing/whereabouts.py
+++ b/hyssopfold/core/balancing/object_locations.py
@@ -9,44 +9,56 @@
 
 # A server remembers some dozens of objects; one not asked for in this time has
 # likely made room for others.
-KNOWN_S = 30.0
+CACHE_RETENTION_S = 30.0
 # Objects that are kept track of; the longest unused are dropped.
 MAX_OBJECTS = 20_000
 # Servers kept of one object, those that answered last.
 MAX_SERVERS = 3
 
 # A life of a server: its id and incarnation. It forgets all when it restarts.
-Life = tuple[str, int]
+ServerIncarnation = tuple[str, int]
 
 
-class Whereabouts:
+class ObjectLocations:
     """Keep who answered for which object."""
 
     def __init__(self) -> None:
-        self._answered: dict[str, dict[Life, float]] = {}
+        self._answered: dict[str, dict[ServerIncarnation, float]] = {}
 
-    def note(self, key: str, life: Life, now: float) -> None:
+    def record(
+        self, key: str, incarnation: ServerIncarnation, now: float
+    ) -> None:
         """Take in that a server answered for an object."""
         held = self._answered.pop(key, None)
         if held is None:
             held = {}
             if len(self._answered) >= MAX_OBJECTS:
                 del self._answered[next(iter(self._answered))]
-        held.pop(life, None)
-        held[life] = now
+        held.pop(incarnation, None)
+        held[incarnation] = now
         if len(held) > MAX_SERVERS:
             del held[next(iter(held))]
         self._answered[key] = held
 
-    def knows(self, key: str, life: Life, now: float) -> bool:
+    def is_cached(
+        self, key: str, incarnation: ServerIncarnation, now: float
+    ) -> bool:
         """Return whether a server answered for an object lately."""
         held = self._answered.get(key)
-        return held is not None and now - held.get(life, -KNOWN_S) < KNOWN_S
+        return (
+            held is not None
+            and now - held.get(incarnation, -CACHE_RETENTION_S)
+            < CACHE_RETENTION_S
+        )
 
     def forget(self, known: Collection[str]) -> None:
         """Drop the servers that are not `known`."""
         for key, held in list(self._answered.items()):
-            kept = {life: at for life, at in held.items() if life[0] in known}
+            kept = {
+                incarnation: at
+                for incarnation, at in held.items()
+                if incarnation[0] in known
+            }
             if kept:
                 self._answered[key] = kept
             else:
--- a/tests/steps/core/balancing/soonest_steps.py
+++ b/tests/steps/core/balancing/soonest_steps.py
@@ -8,7 +8,7 @@
 from hyssopfold.core.balancing import estimates
 from hyssopfold.core.balancing import local
 from hyssopfold.core.balancing import messages
-from hyssopfold.core.balancing import whereabouts
+from hyssopfold.core.balancing import object_locations
 from hyssopfold.core.membership import messages as membership
 
 _OPEN = (messages.Region("dakar", False),)
@@ -199,10 +199,10 @@
 
 @when("{count:d} objects are answered by {servers:d} servers each")
 def _(context, count, servers):
-    context.held = whereabouts.Whereabouts()
+    context.held = object_locations.ObjectLocations()
     for number in range(count):
         for server in range(servers):
-            context.held.note(f"o{number}", (f"s{server}", 1), _NOW)
+            context.held.record(f"o{number}", (f"s{server}", 1), _NOW)
 
 
 @then("at most {objects:d} objects with {servers:d} servers each are kept")
