--- a/bench/emulator/ablation.py
+++ b/bench/emulator/ablation.py
@@ -73,11 +73,11 @@
         "is_cached",
         lambda *_: True,
     ),
-    Mechanism("load told by servers", local, "REPORT_S", -1.0),
-    Mechanism("silent servers left", local, "SILENT_GOALS", _OFF),
+    Mechanism("load told by servers", local, "REPORT_MAX_AGE_S", -1.0),
+    Mechanism("silent servers left", local, "SILENT_AFTER_GOALS", _OFF),
     Mechanism("silence told to others", tell_s=0.0),
-    Mechanism("rest after a refusal", local, "SHED_REST_S", 0.0),
-    Mechanism("rest after failures", local, "FAILURES", _OFF),
+    Mechanism("rest after a refusal", local, "SHED_EJECTION_S", 0.0),
+    Mechanism("rest after failures", local, "EJECT_AFTER_FAILURES", _OFF),
 )
 
 
--- a/bench/local_choice.py
+++ b/bench/local_choice.py
@@ -6,7 +6,7 @@
 
 from hyssopfold.core.balancing import local
 from hyssopfold.core.balancing import messages
-from hyssopfold.core.balancing import sightings
+from hyssopfold.core.balancing import server_stats
 from hyssopfold.core.membership import messages as membership
 from hyssopfold.transport import datagram_wire
 
@@ -50,7 +50,8 @@
 def word_cost(servers: int, rounds: int) -> tuple[int, float]:
     """Return bytes of a word on silent servers, and its cost at both ends, us."""
     keys = tuple(
-        sightings.life_key(f"s{number}", 1) for number in range(servers)
+        server_stats.incarnation_key(f"s{number}", 1)
+        for number in range(servers)
     )
     chooser = local.Chooser("entry-0", "dar")
     began = time.process_time()
--- a/hyssopfold/core/balancing/load_reports.py
+++ b/hyssopfold/core/balancing/load_reports.py
@@ -39,7 +39,7 @@
         Only a busy server's is passed on: others are expected to have room.
 
         Args:
-            key: The server's life, see `sightings.life_key`.
+            key: The server's life, see `server_stats.incarnation_key`.
             load: What the answer told.
         """
         requests = load.running + load.waiting
--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -23,7 +23,7 @@
 from hyssopfold.core.balancing import load_reports
 from hyssopfold.core.balancing import messages
 from hyssopfold.core.balancing import object_locations
-from hyssopfold.core.balancing import sightings
+from hyssopfold.core.balancing import server_stats
 from hyssopfold.core.balancing import silence_reports
 from hyssopfold.core.membership import messages as membership
 
@@ -97,7 +97,7 @@
 
     def __init__(self, name: str, region: str = "") -> None:
         self._region = region
-        self._seen = sightings.Sightings()
+        self._server_stats = server_stats.ServerStatsTable()
         self._pools: dict[str, _Pool] = {}
         self._allowance = allowance.Allowance(name)
         self._silence_reports = silence_reports.SilenceReports()
@@ -122,11 +122,11 @@
         if isinstance(found, messages.Refused):
             return found
         server, load = found.server, found.load
-        seen = self._seen.sent(server, req.goal_s, view.now)
-        is_cold = self._is_cold(seen, server.server_id, view)
+        stats = self._server_stats.record_sent(server, req.goal_s, view.now)
+        is_cold = self._is_cold(stats, server.server_id, view)
         if is_cold:
             self._allowance.take(server.server_id)
-        age_s = min(messages.NEVER_S, view.now - seen.reported_at)
+        age_s = min(messages.NEVER_S, view.now - stats.reported_at)
         return messages.Grant(
             server,
             found.reason,
@@ -270,25 +270,25 @@
     def _is_open(self, server: membership.Server, view: View) -> bool:
         """Return whether a server takes requests as far as is known here."""
         server_id = server.server_id
-        seen = self._seen.meet(server, view.now)
-        if seen.resting_until > view.now:
+        stats = self._server_stats.current(server, view.now)
+        if stats.ejected_until > view.now:
             return False
-        if seen.is_silent(view.now) or self._silence_reports.is_confirmed(
+        if stats.is_silent(view.now) or self._silence_reports.is_confirmed(
             server_id, view.now
         ):
             return False
-        if not self._is_cold(seen, server_id, view):
+        if not self._is_cold(stats, server_id, view):
             return True
         return self._allowance.may_send(
             server_id, view.cold_rate, view.entries, view.now
         )
 
     def _is_cold(
-        self, seen: sightings.Sighting, server_id: str, view: View
+        self, stats: server_stats.ServerStats, server_id: str, view: View
     ) -> bool:
         if not view.cold_rate:
             return False
-        return seen.cold_until > view.now or view.is_cold(server_id)
+        return stats.cold_until > view.now or view.is_cold(server_id)
 
     def _load(
         self,
@@ -303,11 +303,11 @@
             now: The time.
             told_s: How old another entry's report may be.
         """
-        seen = self._seen.meet(server, now)
+        stats = self._server_stats.current(server, now)
         told = self._reports.requests(
-            server.server_id, seen.reported_at, seen.in_flight, now - told_s
+            server.server_id, stats.reported_at, stats.in_flight, now - told_s
         )
-        return max(seen.requests(now), told) / max(1, server.slots)
+        return max(stats.estimated_requests(now), told) / max(1, server.slots)
 
     def learn(
         self, grant: messages.Grant, done: messages.Done, now: float
@@ -334,8 +334,8 @@
         self, server_id: str, done: messages.Done, warm_up_s: float, now: float
     ) -> None:
         """Take in how a request ended."""
-        self._seen.done(server_id, done, warm_up_s, now)
-        key = self._seen.key_of(server_id)
+        self._server_stats.record_done(server_id, done, warm_up_s, now)
+        key = self._server_stats.key_of(server_id)
         if done.load is not None and key is not None:
             self._reports.note(key, done.load)
 
@@ -345,7 +345,7 @@
         Each of many entries sends a server few requests, and would else learn
         by its own losses that none is answered.
         """
-        return self._seen.silent(now)
+        return self._server_stats.silent_keys(now)
 
     def hear(
         self, sender: str, silent: Iterable[int], now: float
@@ -355,7 +355,7 @@
         Returns:
             Servers that get nothing more, by this and others' word.
         """
-        known = (self._seen.server_of(key) for key in silent)
+        known = (self._server_stats.server_id_of(key) for key in silent)
         return tuple(
             server_id
             for server_id in known
@@ -374,23 +374,23 @@
 
     def hear_loads(self, loads: Iterable[tuple[int, int]], now: float) -> None:
         """Take in which servers another entry found busy just now."""
-        in_flight = self._seen.in_flight()
+        in_flight = self._server_stats.in_flight()
         for key, requests in loads:
-            server_id = self._seen.server_of(key)
+            server_id = self._server_stats.server_id_of(key)
             if server_id is not None:
                 mine = in_flight.get(server_id, 0)
                 self._reports.hear(server_id, requests, mine, now)
 
     def in_flight(self) -> dict[str, int]:
         """Return the requests under way by server."""
-        return self._seen.in_flight()
+        return self._server_stats.in_flight()
 
     def forget(self, known: Collection[str]) -> None:
         """Drop the servers that are gone and have nothing under way."""
         self._allowance.forget(known)
         self._locations.forget(known)
         self._reports.forget(known)
-        self._silence_reports.forget(self._seen.forget(known))
+        self._silence_reports.forget(self._server_stats.forget(known))
 
 
 def _closed_domains(req: messages.Request) -> dict[str, set[str]]:
@@ -408,7 +408,7 @@
         return False
     patience = PATIENCE[min(req.priority, len(PATIENCE) - 1)]
     in_all_s = req.waited_s + choice.expected_s
-    goal_s = req.goal_s or sightings.USUAL_GOAL_S
+    goal_s = req.goal_s or server_stats.DEFAULT_GOAL_S
     return choice.load < 1 or in_all_s <= patience * goal_s
 
 
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -90,7 +90,8 @@
 class Silent(NamedTuple):
     """Message: servers at which the sender's requests wait in vain.
 
-    Each by a number that stands for one life of it (see `sightings.life_key`).
+    Each by a number that stands for one life of it (see
+    `server_stats.incarnation_key`).
     """
 
     keys: tuple[int, ...]
--- a/hyssopfold/transport/crash_reports.py
+++ b/hyssopfold/transport/crash_reports.py
@@ -11,7 +11,7 @@
 from hyssopfold import logs
 from hyssopfold.core.attempts import quarantine
 from hyssopfold.core.balancing import affinity
-from hyssopfold.core.balancing import sightings
+from hyssopfold.core.balancing import server_stats
 from hyssopfold.core.membership import messages
 from hyssopfold.transport import datagram_wire
 from hyssopfold.transport import gossip
@@ -84,7 +84,9 @@
 
     def crashed(self, server: messages.Server, fingerprint: bytes) -> None:
         """Take in that a server crashed under a request of this entry."""
-        life = sightings.life_key(server.server_id, server.incarnation)
+        life = server_stats.incarnation_key(
+            server.server_id, server.incarnation
+        )
         now = trio.current_time()
         if self.table.crashed(fingerprint, life, now):
             self._note([fingerprint])
--- a/tests/steps/core/balancing/load_reports_steps.py
+++ b/tests/steps/core/balancing/load_reports_steps.py
@@ -10,7 +10,7 @@
 from hyssopfold.core.balancing import load_reports
 from hyssopfold.core.balancing import local
 from hyssopfold.core.balancing import messages
-from hyssopfold.core.balancing import sightings
+from hyssopfold.core.balancing import server_stats
 from hyssopfold.core.membership import messages as membership
 
 _OPEN = (messages.Region("dakar", False),)
@@ -36,8 +36,8 @@
     return context.chooser.choose(req, view)
 
 
-def _life(name):
-    return sightings.life_key(name, 1)
+def _incarnation_key(name):
+    return server_stats.incarnation_key(name, 1)
 
 
 def _order(context, key):
@@ -64,7 +64,9 @@
 )
 def _(context, key, requests):
     first = _order(context, key)[0]
-    context.chooser.hear_loads([(_life(first), requests)], context.now)
+    context.chooser.hear_loads(
+        [(_incarnation_key(first), requests)], context.now
+    )
 
 
 @when(
@@ -72,7 +74,9 @@
     " {requests:d} requests"
 )
 def _(context, key, requests):
-    loads = [(_life(name), requests) for name in _order(context, key)[:2]]
+    loads = [
+        (_incarnation_key(name), requests) for name in _order(context, key)[:2]
+    ]
     context.chooser.hear_loads(loads, context.now)
 
 
--- a/tests/steps/core/balancing/local_steps.py
+++ b/tests/steps/core/balancing/local_steps.py
@@ -10,7 +10,7 @@
 from hyssopfold.core.balancing import affinity
 from hyssopfold.core.balancing import local
 from hyssopfold.core.balancing import messages
-from hyssopfold.core.balancing import sightings
+from hyssopfold.core.balancing import server_stats
 from hyssopfold.core.membership import messages as membership
 
 _OPEN = (messages.Region("dar", False),)
@@ -374,14 +374,16 @@
 
 @when('{count:d} requests for object "{key}" are placed and answered locally')
 def _(context, count, key):
-    meet = sightings.Sightings.meet
+    current = server_stats.ServerStatsTable.current
     context.local_looked_at = set()
 
-    def noting(seen, server, now):
+    def current_recorded(table, server, now):
         context.local_looked_at.add(server.server_id)
-        return meet(seen, server, now)
+        return current(table, server, now)
 
-    with mock.patch.object(sightings.Sightings, "meet", noting):
+    with mock.patch.object(
+        server_stats.ServerStatsTable, "current", current_recorded
+    ):
         for _ in range(count):
             _meet_first(context, key)
 
