--- a/hyssopfold/core/balancing/allowance.py
+++ b/hyssopfold/core/balancing/allowance.py
@@ -90,7 +90,7 @@
         tokens = min(1.0, held.tokens + (now - held.at) * rate)
         return _Bucket(tokens, now)
 
-    def forget(self, known: Collection[str]) -> None:
-        """Drop the servers that are not `known`."""
-        for server_id in self._buckets.keys() - set(known):
+    def prune(self, server_ids: Collection[str]) -> None:
+        """Drop the servers that are not in `server_ids`."""
+        for server_id in self._buckets.keys() - set(server_ids):
             del self._buckets[server_id]
--- a/hyssopfold/core/balancing/load_reports.py
+++ b/hyssopfold/core/balancing/load_reports.py
@@ -83,9 +83,9 @@
             return 0.0
         return held.requests + in_flight - held.in_flight_then
 
-    def forget(self, known: Collection[str]) -> None:
-        """Drop the servers that are not `known`."""
-        for server_id in self._told.keys() - set(known):
+    def prune(self, server_ids: Collection[str]) -> None:
+        """Drop the servers that are not in `server_ids`."""
+        for server_id in self._told.keys() - set(server_ids):
             del self._told[server_id]
 
 
--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -385,12 +385,12 @@
         """Return the requests under way by server."""
         return self._server_stats.in_flight()
 
-    def forget(self, known: Collection[str]) -> None:
+    def prune(self, server_ids: Collection[str]) -> None:
         """Drop the servers that are gone and have nothing under way."""
-        self._allowance.forget(known)
-        self._locations.forget(known)
-        self._reports.forget(known)
-        self._silence_reports.forget(self._server_stats.forget(known))
+        self._allowance.prune(server_ids)
+        self._locations.prune(server_ids)
+        self._reports.prune(server_ids)
+        self._silence_reports.prune(self._server_stats.prune(server_ids))
 
 
 def _closed_domains(req: messages.Request) -> dict[str, set[str]]:
--- a/hyssopfold/core/balancing/object_locations.py
+++ b/hyssopfold/core/balancing/object_locations.py
@@ -51,13 +51,13 @@
             < CACHE_RETENTION_S
         )
 
-    def forget(self, known: Collection[str]) -> None:
-        """Drop the servers that are not `known`."""
+    def prune(self, server_ids: Collection[str]) -> None:
+        """Drop the servers that are not in `server_ids`."""
         for key, held in list(self._answered.items()):
             kept = {
                 incarnation: at
                 for incarnation, at in held.items()
-                if incarnation[0] in known
+                if incarnation[0] in server_ids
             }
             if kept:
                 self._answered[key] = kept
--- a/hyssopfold/core/balancing/server_stats.py
+++ b/hyssopfold/core/balancing/server_stats.py
@@ -144,13 +144,13 @@
             if stats.in_flight
         }
 
-    def forget(self, known: Collection[str]) -> Collection[str]:
-        """Drop the servers that are not `known` and have nothing under way.
+    def prune(self, server_ids: Collection[str]) -> Collection[str]:
+        """Drop the servers that are not in `server_ids` and have nothing under way.
 
         Returns:
             Those that are kept.
         """
-        for server_id in self._stats.keys() - set(known):
+        for server_id in self._stats.keys() - set(server_ids):
             if not self._stats[server_id].in_flight:
                 del self._stats[server_id]
         self._by_key = {
--- a/hyssopfold/core/balancing/silence_reports.py
+++ b/hyssopfold/core/balancing/silence_reports.py
@@ -31,7 +31,7 @@
             del self._until[server_id]
         return lately >= MIN_REPORTERS
 
-    def forget(self, known: Collection[str]) -> None:
-        """Drop the servers that are not `known`."""
-        for server_id in self._until.keys() - set(known):
+    def prune(self, server_ids: Collection[str]) -> None:
+        """Drop the servers that are not in `server_ids`."""
+        for server_id in self._until.keys() - set(server_ids):
             del self._until[server_id]
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -137,7 +137,7 @@
         while True:
             await trio.sleep(_TIDY_S)
             words = self._directory.servers.words()
-            self._chooser.forget({one.server_id for one in words})
+            self._chooser.prune({one.server_id for one in words})
 
     async def _tell(self) -> None:
         """Tell the entries of this region: they use the same servers most."""
