--- a/bench/emulator/world.py
+++ b/bench/emulator/world.py
@@ -202,11 +202,11 @@
 
     def _tell(self, region: str, period_s: float) -> None:
         entries = self.entries[region]
-        told = [entry.silent(self.now) for entry in entries]
+        told = [entry.silent_keys(self.now) for entry in entries]
         for entry in entries:
             for number, silent in enumerate(told):
                 if entries[number] is not entry and silent:
-                    entry.hear(f"{region}-{number}", silent, self.now)
+                    entry.record_silent(f"{region}-{number}", silent, self.now)
         self.at(self.now + period_s, self._tell, region, period_s)
 
     def tell_busy(self, batch_s: float, each_side: int) -> None:
@@ -239,7 +239,7 @@
         )  # fmt: skip
 
     def _hear_busy(self, entry: Any, loads: Any) -> None:
-        entry.hear_loads(loads, self.now)
+        entry.record_loads(loads, self.now)
 
     def _make_servers(self) -> None:
         for pool in self.site.pools:
@@ -335,7 +335,7 @@
         self._waited_for.remove(call.number)
         took = self.now - call.born
         done = messages.Done("failed", took, True, False)
-        entry.done(server.word.server_id, done, 3.0, self.now)
+        entry.record_done(server.word.server_id, done, 3.0, self.now)
         self._count(call, "failed", 0.0)
 
     def _way(self, region: str, server: Server) -> float:
@@ -372,7 +372,7 @@
             return
         self._waited_for.remove(call.number)
         done = messages.Done("failed", 0.0, False, False)
-        entry.done(server.word.server_id, done, 3.0, self.now)
+        entry.record_done(server.word.server_id, done, 3.0, self.now)
         # Nothing was sent: two more may be asked (see core/attempts).
         if len(tried) + 1 >= ATTEMPTS + 2:
             self._refuse(call, 0.1)
@@ -386,7 +386,7 @@
         if call.number not in self._waited_for:
             return
         self._waited_for.remove(call.number)
-        entry.done(server.word.server_id, done, 3.0, self.now)
+        entry.record_done(server.word.server_id, done, 3.0, self.now)
         if len(tried) + 1 >= ATTEMPTS:
             self._refuse(call, 0.1)
             return
@@ -419,7 +419,7 @@
         self._waited_for.remove(call.number)
         done = messages.Done("answered", self.now - sent, True, True, load)
         entry.learn(self.grants[call.number], done, self.now)
-        entry.done(server.word.server_id, done, 3.0, self.now)
+        entry.record_done(server.word.server_id, done, 3.0, self.now)
         kind = call.kind
         took = self.now + self.site.caller_s - call.born
         if took <= kind.goal_s:
--- a/bench/local_choice.py
+++ b/bench/local_choice.py
@@ -37,7 +37,7 @@
         grant = chooser.choose(req, view)
         assert isinstance(grant, messages.Grant)
         done = messages.Done("answered", 0.1, load=messages.Load(1, 0, 3))
-        chooser.done(grant.server.server_id, done, 3.0, number / 100)
+        chooser.record_done(grant.server.server_id, done, 3.0, number / 100)
 
     for number in range(_OBJECTS):
         choose(number)
@@ -61,7 +61,7 @@
         data = datagram_wire.encode_message("entry-1", message)
         parcel = datagram_wire.decode(data)
         assert isinstance(parcel, datagram_wire.Parcel)
-        chooser.hear("entry-1", keys, 0.0)
+        chooser.record_silent("entry-1", keys, 0.0)
     return len(data), (time.process_time() - began) / rounds * 1e6
 
 
--- a/hyssopfold/core/balancing/load_reports.py
+++ b/hyssopfold/core/balancing/load_reports.py
@@ -13,14 +13,14 @@
 
 # How old another's report may be for a choice between two servers, and for
 # refusing a request for want of room.
-CHOICE_S = 2.0
-ROOM_S = 0.5
+CHOICE_MAX_AGE_S = 2.0
+REFUSAL_MAX_AGE_S = 0.5
 
 
 class _Report(NamedTuple):
     requests: float
     at: float
-    in_flight_then: int
+    in_flight_at_report: int
 
 
 _NONE = _Report(0.0, -math.inf, 0)
@@ -30,10 +30,10 @@
     """Keep what others told, and what is to be told them."""
 
     def __init__(self) -> None:
-        self._told: dict[str, _Report] = {}
+        self._reports: dict[str, _Report] = {}
         self._busy: dict[int, int] = {}
 
-    def note(self, key: int, load: messages.Load) -> None:
+    def record_answer(self, key: int, load: messages.Load) -> None:
         """Take in a load that an answer told here.
 
         Only a busy server's is passed on: others are expected to have room.
@@ -57,16 +57,16 @@
         self._busy.clear()
         return found
 
-    def hear(
+    def record_report(
         self, server_id: str, requests: float, in_flight: int, now: float
     ) -> None:
         """Take in another entry's report of a server.
 
         `in_flight` is what this entry has under way there.
         """
-        self._told[server_id] = _Report(requests, now, in_flight)
+        self._reports[server_id] = _Report(requests, now, in_flight)
 
-    def requests(
+    def estimated_requests(
         self, server_id: str, since: float, in_flight: int, until: float
     ) -> float:
         """Return a server's requests by others' reports, 0 without one.
@@ -78,15 +78,15 @@
             in_flight: Requests that this entry has under way there.
             until: Reports from before this time are too old.
         """
-        held = self._told.get(server_id, _NONE)
+        held = self._reports.get(server_id, _NONE)
         if held.at < max(since, until):
             return 0.0
-        return held.requests + in_flight - held.in_flight_then
+        return held.requests + in_flight - held.in_flight_at_report
 
     def prune(self, server_ids: Collection[str]) -> None:
         """Drop the servers that are not in `server_ids`."""
-        for server_id in self._told.keys() - set(server_ids):
-            del self._told[server_id]
+        for server_id in self._reports.keys() - set(server_ids):
+            del self._reports[server_id]
 
 
 def neighbours(
--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -103,7 +103,7 @@
         self._silence_reports = silence_reports.SilenceReports()
         self._estimates = estimates.Estimates()
         self._locations = object_locations.ObjectLocations()
-        self._reports = load_reports.LoadReports()
+        self._load_reports = load_reports.LoadReports()
 
     def choose(
         self, req: messages.Request, view: View
@@ -231,7 +231,7 @@
         kind = estimates.Kind(req.route, server.region)
         run_s = self._estimates.run_s(kind, req.goal_s, is_known)
         wait_s = self._wait_s(req, server, load)
-        told = self._load(server, now, load_reports.CHOICE_S)
+        told = self._load(server, now, load_reports.CHOICE_MAX_AGE_S)
         ordered_s = run_s + self._wait_s(req, server, told)
         reason = "affinity" if wait_s == 0 else "affinity-wait"
         return _Choice(server, reason, load, run_s + wait_s, wait_s, ordered_s)
@@ -294,7 +294,7 @@
         self,
         server: membership.Server,
         now: float,
-        told_s: float = load_reports.ROOM_S,
+        told_s: float = load_reports.REFUSAL_MAX_AGE_S,
     ) -> float:
         """Return a server's requests as a multiple of its slots.
 
@@ -304,7 +304,7 @@
             told_s: How old another entry's report may be.
         """
         stats = self._server_stats.current(server, now)
-        told = self._reports.requests(
+        told = self._load_reports.estimated_requests(
             server.server_id, stats.reported_at, stats.in_flight, now - told_s
         )
         return max(stats.estimated_requests(now), told) / max(1, server.slots)
@@ -330,16 +330,16 @@
             )
         )
 
-    def done(
+    def record_done(
         self, server_id: str, done: messages.Done, warm_up_s: float, now: float
     ) -> None:
         """Take in how a request ended."""
         self._server_stats.record_done(server_id, done, warm_up_s, now)
         key = self._server_stats.key_of(server_id)
         if done.load is not None and key is not None:
-            self._reports.note(key, done.load)
+            self._load_reports.record_answer(key, done.load)
 
-    def silent(self, now: float) -> tuple[int, ...]:
+    def silent_keys(self, now: float) -> tuple[int, ...]:
         """Return the lives of servers at which requests wait in vain.
 
         Each of many entries sends a server few requests, and would else learn
@@ -347,15 +347,15 @@
         """
         return self._server_stats.silent_keys(now)
 
-    def hear(
-        self, sender: str, silent: Iterable[int], now: float
+    def record_silent(
+        self, sender: str, keys: Iterable[int], now: float
     ) -> tuple[str, ...]:
         """Take in at which servers another entry waits in vain just now.
 
         Returns:
             Servers that get nothing more, by this and others' word.
         """
-        known = (self._server_stats.server_id_of(key) for key in silent)
+        known = (self._server_stats.server_id_of(key) for key in keys)
         return tuple(
             server_id
             for server_id in known
@@ -366,20 +366,22 @@
     @property
     def has_busy(self) -> bool:
         """Return whether there are busy servers to tell others of."""
-        return self._reports.has_busy
+        return self._load_reports.has_busy
 
     def take_busy(self) -> tuple[tuple[int, int], ...]:
         """Return the lives of busy servers and their requests, once."""
-        return self._reports.take_busy()
+        return self._load_reports.take_busy()
 
-    def hear_loads(self, loads: Iterable[tuple[int, int]], now: float) -> None:
+    def record_loads(
+        self, loads: Iterable[tuple[int, int]], now: float
+    ) -> None:
         """Take in which servers another entry found busy just now."""
         in_flight = self._server_stats.in_flight()
         for key, requests in loads:
             server_id = self._server_stats.server_id_of(key)
             if server_id is not None:
                 mine = in_flight.get(server_id, 0)
-                self._reports.hear(server_id, requests, mine, now)
+                self._load_reports.record_report(server_id, requests, mine, now)
 
     def in_flight(self) -> dict[str, int]:
         """Return the requests under way by server."""
@@ -389,7 +391,7 @@
         """Drop the servers that are gone and have nothing under way."""
         self._allowance.prune(server_ids)
         self._locations.prune(server_ids)
-        self._reports.prune(server_ids)
+        self._load_reports.prune(server_ids)
         self._silence_reports.prune(self._server_stats.prune(server_ids))
 
 
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -110,7 +110,7 @@
         warm_up_s = self._warm_up_s.get(grant.server.pool, 0.0)
         now = trio.current_time()
         self._chooser.learn(grant, done, now)
-        self._chooser.done(grant.server.server_id, done, warm_up_s, now)
+        self._chooser.record_done(grant.server.server_id, done, warm_up_s, now)
         if self._chooser.has_busy:
             self._is_busy.set()
 
@@ -143,7 +143,7 @@
         """Tell the entries of this region: they use the same servers most."""
         while True:
             await trio.sleep(TELL_S)
-            silent = self._chooser.silent(trio.current_time())
+            silent = self._chooser.silent_keys(trio.current_time())
             if not silent:
                 continue
             me = self._spread.myself
@@ -171,7 +171,7 @@
                 case messages.Silent(keys):
                     self._hear_silent(parcel.sender, keys)
                 case messages.Busy(loads):
-                    self._chooser.hear_loads(loads, trio.current_time())
+                    self._chooser.record_loads(loads, trio.current_time())
                 case _:
                     # Sent by an entry with another way of placing requests.
                     logger.warning(
@@ -179,7 +179,9 @@
                     )
 
     def _hear_silent(self, sender: str, keys: tuple[int, ...]) -> None:
-        for one in self._chooser.hear(sender, keys, trio.current_time()):
+        for one in self._chooser.record_silent(
+            sender, keys, trio.current_time()
+        ):
             logger.info(
                 logs.Event(
                     "server-silent",
--- a/tests/steps/core/balancing/load_reports_steps.py
+++ b/tests/steps/core/balancing/load_reports_steps.py
@@ -55,7 +55,9 @@
         others = tuple(other for other in names if other != name)
         grant = _choose(context, _request("any", others))
         done = messages.Done("answered", 0.3)
-        context.chooser.done(grant.server.server_id, done, 3.0, context.now)
+        context.chooser.record_done(
+            grant.server.server_id, done, 3.0, context.now
+        )
 
 
 @when(
@@ -64,7 +66,7 @@
 )
 def _(context, key, requests):
     first = _order(context, key)[0]
-    context.chooser.hear_loads(
+    context.chooser.record_loads(
         [(_incarnation_key(first), requests)], context.now
     )
 
@@ -77,7 +79,7 @@
     loads = [
         (_incarnation_key(name), requests) for name in _order(context, key)[:2]
     ]
-    context.chooser.hear_loads(loads, context.now)
+    context.chooser.record_loads(loads, context.now)
 
 
 @when("{seconds:g} s pass for the entry that was told")
@@ -97,7 +99,7 @@
     slots = grant.server.slots
     load = messages.Load(min(requests, slots), max(0, requests - slots), slots)
     done = messages.Done("answered", 0.3, load=load)
-    context.chooser.done(order[0], done, 3.0, context.now)
+    context.chooser.record_done(order[0], done, 3.0, context.now)
 
 
 @then('a request for "{key}" goes to its {place} server')
--- a/tests/steps/core/balancing/local_steps.py
+++ b/tests/steps/core/balancing/local_steps.py
@@ -78,7 +78,7 @@
     chooser = context.local_chooser
     grant = chooser.choose(_request(key), _view(context))
     assert grant.server.server_id == _order(context, key)[0]
-    chooser.done(grant.server.server_id, done, 3.0, context.local_now)
+    chooser.record_done(grant.server.server_id, done, 3.0, context.local_now)
 
 
 @given('the first server of "{key}" told a load of {load:d} running or waiting')
@@ -98,7 +98,7 @@
         grant = chooser.choose(req, _view(context))
         done = messages.Done("answered", 0.1)
         chooser.learn(grant, done, now)
-        chooser.done(grant.server.server_id, done, 3.0, now)
+        chooser.record_done(grant.server.server_id, done, 3.0, now)
 
 
 @given('the first server of "{key}" took no connection')
@@ -143,7 +143,9 @@
         context.local_answers.append(grant)
         done = messages.Done("answered", 0.1)
         server_id = grant.server.server_id
-        context.local_chooser.done(server_id, done, 3.0, context.local_now)
+        context.local_chooser.record_done(
+            server_id, done, 3.0, context.local_now
+        )
 
 
 def _went_to(context):
@@ -204,7 +206,7 @@
         server_id = grant.server.server_id
         got += server_id == _order(context, key)[0]
         done = messages.Done("answered", 0.01)
-        chooser.done(server_id, done, 3.0, context.local_now)
+        chooser.record_done(server_id, done, 3.0, context.local_now)
     assert 1 <= got <= most, got
 
 
@@ -241,7 +243,7 @@
                 if isinstance(answer, messages.Grant):
                     context.local_sent.append(context.local_now)
                     done = messages.Done("answered", 0.0)
-                    chooser.done("s1", done, 3.0, context.local_now)
+                    chooser.record_done("s1", done, 3.0, context.local_now)
 
 
 @then("in no second did the cold server get more than {most:d} requests")
@@ -322,7 +324,7 @@
 def _(context, key):
     done = messages.Done("failed", 1.0, good=False)
     first = _order(context, key)[0]
-    context.local_chooser.done(first, done, 3.0, context.local_now)
+    context.local_chooser.record_done(first, done, 3.0, context.local_now)
 
 
 @given('at the address of the first server of "{key}" another one answered')
@@ -343,7 +345,7 @@
     grant = context.local_chooser.choose(_request(key), _view(context))
     done = messages.Done("answered", 0.1)
     server_id = grant.server.server_id
-    context.local_chooser.done(server_id, done, 3.0, context.local_now)
+    context.local_chooser.record_done(server_id, done, 3.0, context.local_now)
 
 
 @given('{count:d} other entries wait in vain at the first server of "{key}"')
@@ -369,7 +371,7 @@
 def _(context):
     now = context.local_now
     for name, other in context.local_others.items():
-        context.local_chooser.hear(name, other.silent(now), now)
+        context.local_chooser.record_silent(name, other.silent_keys(now), now)
 
 
 @when('{count:d} requests for object "{key}" are placed and answered locally')
--- a/tests/steps/core/balancing/soonest_steps.py
+++ b/tests/steps/core/balancing/soonest_steps.py
@@ -56,7 +56,7 @@
     grant = chooser.choose(req, _view(context))
     done = messages.Done("answered", took_s, load=load)
     chooser.learn(grant, done, _NOW)
-    chooser.done(grant.server.server_id, done, 3.0, _NOW)
+    chooser.record_done(grant.server.server_id, done, 3.0, _NOW)
 
 
 @given("{count:d} servers of {slots:d} slots for the soonest answer")
