--- a/bench/emulator/ablation.py
+++ b/bench/emulator/ablation.py
@@ -61,11 +61,11 @@
     Mechanism(
         "objects keep to servers", local.Chooser, "_by_object", _any_server
     ),
-    Mechanism("a second server", local, "SHARED_BY", 1),
-    Mechanism("no third server", local, "SHARED_BY", 3),
-    Mechanism("home region first", local, "HOME_WEIGHT", 1.0),
-    Mechanism("bound by time", local, "PATIENCE", (_OFF,)),
-    Mechanism("bound by priority", local, "PATIENCE", (1.5,)),
+    Mechanism("a second server", local, "SERVERS_PER_OBJECT", 1),
+    Mechanism("no third server", local, "SERVERS_PER_OBJECT", 3),
+    Mechanism("home region first", local, "HOME_REGION_WEIGHT", 1.0),
+    Mechanism("bound by time", local, "MAX_GOAL_RATIOS", (_OFF,)),
+    Mechanism("bound by priority", local, "MAX_GOAL_RATIOS", (1.5,)),
     Mechanism("run times learned", estimates.Estimates, "observe", _ignore),
     Mechanism(
         "who knows an object",
--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -31,17 +31,17 @@
 # does not know the object the same request takes three times as long, so that
 # spreading out an overload makes it larger, until all servers are busy with
 # objects they don't know.
-SHARED_BY = 2
+SERVERS_PER_OBJECT = 2
 # Load, as a multiple of a server's slots, at which it is about to refuse.
-FULL = 3.5
+FULL_LOAD = 3.5
 # Expected time of an answer, as a multiple of the goal, up to which a request
 # is sent to a busy server, by its priority.
-PATIENCE = (2.0, 1.5, 1.0)
+MAX_GOAL_RATIOS = (2.0, 1.5, 1.0)
 # How much likelier a server of the entry's own region ranks first than one
 # elsewhere. Most objects are asked for in one region; served there they spare
 # the way between regions. More would fill a region that has few servers for
 # its callers.
-HOME_WEIGHT = 5.0
+HOME_REGION_WEIGHT = 5.0
 # When all are loaded, callers should come back once some requests are done.
 RETRY_AFTER_S = 0.15
 
@@ -145,7 +145,7 @@
             return held
         weights: Mapping[str, float] = {
             server.server_id: server.slots
-            * (HOME_WEIGHT if server.region == self._region else 1.0)
+            * (HOME_REGION_WEIGHT if server.region == self._region else 1.0)
             for server in servers
         }
         ranking = held.ranking if held is not None else affinity.Ranking()
@@ -167,7 +167,7 @@
     ) -> "_Choice | messages.Refused":
         """Return who answers soonest of those that share the object."""
         usable = self._usable(req, order, servers, view)
-        sharing = tuple(itertools.islice(usable, SHARED_BY))
+        sharing = tuple(itertools.islice(usable, SERVERS_PER_OBJECT))
         if not sharing:
             return messages.Refused(
                 _why_none(req, servers.values()), RETRY_AFTER_S
@@ -263,7 +263,7 @@
             if self._is_open(server, view)
         ]
         least, name = min(loads, default=(math.inf, ""))
-        if least >= FULL:
+        if least >= FULL_LOAD:
             return messages.Refused("no-slot", RETRY_AFTER_S)
         return _Choice(servers[name], "least-loaded", least)
 
@@ -406,12 +406,12 @@
     One whose answer would come too late to be of much use makes all behind it
     late too; it finds room only where nothing waits.
     """
-    if choice.load >= FULL:
+    if choice.load >= FULL_LOAD:
         return False
-    patience = PATIENCE[min(req.priority, len(PATIENCE) - 1)]
+    max_ratio = MAX_GOAL_RATIOS[min(req.priority, len(MAX_GOAL_RATIOS) - 1)]
     in_all_s = req.waited_s + choice.expected_s
     goal_s = req.goal_s or server_stats.DEFAULT_GOAL_S
-    return choice.load < 1 or in_all_s <= patience * goal_s
+    return choice.load < 1 or in_all_s <= max_ratio * goal_s
 
 
 def _why_none(
