--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -215,8 +215,8 @@
         ]
         known[0] = True
         choices = [
-            self._expected(req, one, is_known, now)
-            for one, is_known in zip(found, known, strict=True)
+            self._expected(req, one, is_cached, now)
+            for one, is_cached in zip(found, known, strict=True)
         ]
         return sorted(choices, key=lambda one: one.ordered_s)
 
@@ -224,12 +224,12 @@
         self,
         req: messages.Request,
         server: membership.Server,
-        is_known: bool,
+        is_cached: bool,
         now: float,
     ) -> "_Choice":
         load = self._load(server, now)
-        kind = estimates.Kind(req.route, server.region)
-        run_s = self._estimates.run_s(kind, req.goal_s, is_known)
+        kind = estimates.RequestKind(req.route, server.region)
+        run_s = self._estimates.run_s(kind, req.goal_s, is_cached)
         wait_s = self._wait_s(req, server, load)
         told = self._load(server, now, load_reports.CHOICE_MAX_AGE_S)
         ordered_s = run_s + self._wait_s(req, server, told)
@@ -318,15 +318,15 @@
             return
         life = (server.server_id, server.incarnation)
         if req.object_key:
-            was_known = self._locations.is_cached(req.object_key, life, now)
+            was_cached = self._locations.is_cached(req.object_key, life, now)
             self._locations.record(req.object_key, life, now)
         else:
-            was_known = True
-        waits = done.load is not None and done.load.waiting > 0
-        kind = estimates.Kind(req.route, server.region)
+            was_cached = True
+        had_queue = done.load is not None and done.load.waiting > 0
+        kind = estimates.RequestKind(req.route, server.region)
         self._estimates.observe(
-            estimates.Answer(
-                kind, req.pool, req.goal_s, done.seconds, was_known, waits
+            estimates.AnswerSample(
+                kind, req.pool, req.goal_s, done.seconds, was_cached, had_queue
             )
         )
 
--- a/tests/steps/core/balancing/soonest_steps.py
+++ b/tests/steps/core/balancing/soonest_steps.py
@@ -191,9 +191,9 @@
 
 @then("a booking is still expected to take {least:g} to {most:g} s")
 def _(context, least, most):
-    kind = estimates.Kind("book", "dakar")
+    kind = estimates.RequestKind("book", "dakar")
     held = context.soonest_chooser._estimates
-    got = held.run_s(kind, 1.0, is_known=True)
+    got = held.run_s(kind, 1.0, is_cached=True)
     assert least <= got <= most, got
 
 
