--- a/hyssopfold/core/balancing/allowance.py
+++ b/hyssopfold/core/balancing/allowance.py
@@ -14,10 +14,10 @@
 
 # Entries that may send to one cold server: two bear the loss of one, and add
 # no more than two requests to a second's allowance.
-HOLDERS = 2
+SENDERS = 2
 # What is left of the bound for requests on their way, in clocks' and links'
 # jitter, when a burst of one second falls into another.
-MARGIN = 0.8
+RATE_FACTOR = 0.8
 
 
 class _Bucket(NamedTuple):
@@ -36,10 +36,10 @@
         self._name = name
         self._buckets: dict[str, _Bucket] = {}
         # Who holds each server's allowance, for one object of entries.
-        self._holders: dict[str, tuple[str, ...]] = {}
-        self._holders_of: Collection[str] = ()
+        self._senders: dict[str, tuple[str, ...]] = {}
+        self._senders_of: Collection[str] = ()
 
-    def note(self, server_id: str, now: float) -> None:
+    def record_cold(self, server_id: str, now: float) -> None:
         """Count what may go to a server from now on: it is known to be cold.
 
         A fresh process does not know what it sent before it restarted.
@@ -58,36 +58,36 @@
                 until one of them changes.
             now: Monotonic time in seconds.
         """
-        holders = self._drawn(server_id, entries)
-        if self._name not in holders:
+        senders = self._draw_senders(server_id, entries)
+        if self._name not in senders:
             return False
-        held = self._filled(server_id, rate * MARGIN / HOLDERS, now)
-        self._buckets[server_id] = held
-        return held.tokens >= 1
+        bucket = self._refilled(server_id, rate * RATE_FACTOR / SENDERS, now)
+        self._buckets[server_id] = bucket
+        return bucket.tokens >= 1
 
-    def _drawn(
+    def _draw_senders(
         self, server_id: str, entries: Collection[str]
     ) -> tuple[str, ...]:
-        if entries is not self._holders_of:
-            self._holders_of = entries
-            self._holders.clear()
-        holders = self._holders.get(server_id)
-        if holders is None:
+        if entries is not self._senders_of:
+            self._senders_of = entries
+            self._senders.clear()
+        senders = self._senders.get(server_id)
+        if senders is None:
             names = {*entries, self._name}
-            holders = affinity.alike(server_id, names)[:HOLDERS]
-            self._holders[server_id] = holders
-        return holders
+            senders = affinity.alike(server_id, names)[:SENDERS]
+            self._senders[server_id] = senders
+        return senders
 
-    def take(self, server_id: str) -> None:
+    def spend(self, server_id: str) -> None:
         """Count a request that goes to a cold server."""
-        held = self._buckets.get(server_id)
-        if held is not None:
-            self._buckets[server_id] = held._replace(tokens=held.tokens - 1)
-
-    def _filled(self, server_id: str, rate: float, now: float) -> _Bucket:
-        self.note(server_id, now)
-        held = self._buckets[server_id]
-        tokens = min(1.0, held.tokens + (now - held.at) * rate)
+        bucket = self._buckets.get(server_id)
+        if bucket is not None:
+            self._buckets[server_id] = bucket._replace(tokens=bucket.tokens - 1)
+
+    def _refilled(self, server_id: str, rate: float, now: float) -> _Bucket:
+        self.record_cold(server_id, now)
+        bucket = self._buckets[server_id]
+        tokens = min(1.0, bucket.tokens + (now - bucket.at) * rate)
         return _Bucket(tokens, now)
 
     def prune(self, server_ids: Collection[str]) -> None:
--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -125,7 +125,7 @@
         stats = self._server_stats.record_sent(server, req.goal_s, view.now)
         is_cold = self._is_cold(stats, server.server_id, view)
         if is_cold:
-            self._allowance.take(server.server_id)
+            self._allowance.spend(server.server_id)
         age_s = min(messages.NEVER_S, view.now - stats.reported_at)
         return messages.Grant(
             server,
@@ -153,7 +153,7 @@
             weights = held.weights
         by_id = {server.server_id: server for server in servers}
         for server_id in filter(view.is_cold, by_id):
-            self._allowance.note(server_id, view.now)
+            self._allowance.record_cold(server_id, view.now)
         held = _Pool(servers, by_id, weights, ranking)
         self._pools[name] = held
         return held
--- a/tests/steps/bench/soak/soak_steps.py
+++ b/tests/steps/bench/soak/soak_steps.py
@@ -31,11 +31,11 @@
 
 @given("soaked entries that each take a cold server's allowance for theirs")
 def _(context):
-    def drawn_alone(held, server_id, entries):
-        return (held._name,)
+    def draw_itself(own, server_id, entries):
+        return (own._name,)
 
-    _break(context, allowance.Allowance, "_drawn", drawn_alone)
-    _break(context, allowance, "HOLDERS", 1)
+    _break(context, allowance.Allowance, "_draw_senders", draw_itself)
+    _break(context, allowance, "SENDERS", 1)
 
 
 @given("soaked entries that take every server for warm unless told otherwise")
