--- a/hyssopfold/core/attempts/quarantine.py
+++ b/hyssopfold/core/attempts/quarantine.py
@@ -185,7 +185,7 @@
         if now < record.trial_until:
             return attempt == record.trial
         names = {*entries, self._name}
-        if affinity.alike(fingerprint.hex(), names)[0] != self._name:
+        if affinity.rank_unweighted(fingerprint.hex(), names)[0] != self._name:
             return False
         tried = record._replace(trial=attempt, trial_until=now + TRIAL_S)
         self._records[fingerprint] = tried
--- a/hyssopfold/core/balancing/affinity.py
+++ b/hyssopfold/core/balancing/affinity.py
@@ -12,7 +12,7 @@
 import math
 
 # Objects whose ranking is kept; the longest unused are dropped.
-MAX_KEPT = 20_000
+MAX_CACHED_RANKINGS = 20_000
 _SCALE = float(1 << 64)
 
 
@@ -21,7 +21,7 @@
 
     def __init__(self) -> None:
         self._weights: Mapping[str, float] = {}
-        self._kept: dict[str, tuple[str, ...]] = {}
+        self._rankings: dict[str, tuple[str, ...]] = {}
 
     def rank(self, key: str, weights: Mapping[str, float]) -> tuple[str, ...]:
         """Return the servers of `weights`, the best for `key` first.
@@ -31,28 +31,29 @@
         """
         if weights is not self._weights:
             self._weights = weights
-            self._kept.clear()
-        found = self._kept.get(key)
-        if found is None:
-            found = ranked(key, weights)
-            if len(self._kept) >= MAX_KEPT:
-                del self._kept[next(iter(self._kept))]
-            self._kept[key] = found
-        return found
+            self._rankings.clear()
+        ranking = self._rankings.get(key)
+        if ranking is None:
+            ranking = rank_weighted(key, weights)
+            if len(self._rankings) >= MAX_CACHED_RANKINGS:
+                del self._rankings[next(iter(self._rankings))]
+            self._rankings[key] = ranking
+        return ranking
 
 
-def ranked(key: str, weights: Mapping[str, float]) -> tuple[str, ...]:
+def rank_weighted(key: str, weights: Mapping[str, float]) -> tuple[str, ...]:
     """Return the servers by weight and by the hash of each with `key`."""
     return tuple(
         sorted(
-            weights, key=lambda one: -math.log(_draw(key, one)) / weights[one]
+            weights,
+            key=lambda name: -math.log(_draw(key, name)) / weights[name],
         )
     )
 
 
-def alike(key: str, names: Iterable[str]) -> tuple[str, ...]:
+def rank_unweighted(key: str, names: Iterable[str]) -> tuple[str, ...]:
     """Return `names` by the hash of each with `key`, all of one weight."""
-    return ranked(key, dict.fromkeys(names, 1.0))
+    return rank_weighted(key, dict.fromkeys(names, 1.0))
 
 
 def _draw(key: str, name: str) -> float:
--- a/hyssopfold/core/balancing/allowance.py
+++ b/hyssopfold/core/balancing/allowance.py
@@ -74,7 +74,7 @@
         senders = self._senders.get(server_id)
         if senders is None:
             names = {*entries, self._name}
-            senders = affinity.alike(server_id, names)[:SENDERS]
+            senders = affinity.rank_unweighted(server_id, names)[:SENDERS]
             self._senders[server_id] = senders
         return senders
 
--- a/hyssopfold/transport/crash_reports.py
+++ b/hyssopfold/transport/crash_reports.py
@@ -104,7 +104,7 @@
 
     def _tell_holders(self, fingerprint: bytes) -> None:
         names = [one.name for one in self._spread.live_instances()]
-        holders = affinity.alike(fingerprint.hex(), names)
+        holders = affinity.rank_unweighted(fingerprint.hex(), names)
         report = self.table.report(fingerprint, trio.current_time())
         me = self._spread.myself.name
         others = [one for one in holders[: quarantine.HOLDERS] if one != me]
--- a/tests/steps/core/balancing/load_reports_steps.py
+++ b/tests/steps/core/balancing/load_reports_steps.py
@@ -42,7 +42,7 @@
 
 def _order(context, key):
     ids = [one.server_id for one in context.servers]
-    return affinity.alike(key, ids)
+    return affinity.rank_unweighted(key, ids)
 
 
 @given("an entry that has met {count:d} servers of {slots:d} slots")
--- a/tests/steps/core/balancing/local_steps.py
+++ b/tests/steps/core/balancing/local_steps.py
@@ -70,7 +70,9 @@
 
 
 def _order(context, key):
-    return affinity.alike(key, {one.server_id for one in context.local_servers})
+    return affinity.rank_unweighted(
+        key, {one.server_id for one in context.local_servers}
+    )
 
 
 def _take_from_first(context, key, done):
@@ -225,7 +227,7 @@
 
 @given("the {count:d} that rank last for it know of no other entry")
 def _(context, count):
-    ranked = affinity.alike("s1", context.local_names)
+    ranked = affinity.rank_unweighted("s1", context.local_names)
     context.local_cut_off = ranked[-count:]
 
 
--- a/tests/steps/core/balancing/soonest_steps.py
+++ b/tests/steps/core/balancing/soonest_steps.py
@@ -38,7 +38,7 @@
 
 def _nth(context, key, number):
     ids = [one.server_id for one in context.soonest_servers]
-    return affinity.alike(key, ids)[number]
+    return affinity.rank_unweighted(key, ids)[number]
 
 
 def _only(context, name):
