--- a/bench/emulator/world.py
+++ b/bench/emulator/world.py
@@ -138,7 +138,7 @@
         self._numbers = itertools.count()
         self.grants: dict[int, messages.Grant] = {}
         self._closed: set[str] = set()
-        self._reopened = reopened.Reopened(self._directory())
+        self._reopened = reopened.ReopenedDomains(self._directory())
         self._bursts: list[tuple[float, float, float]] = []
         # Requests that wait for an answer, by number.
         self._waited_for: set[int] = set()
@@ -171,11 +171,11 @@
 
     def _close(self, domain: str) -> None:
         self._closed.add(domain)
-        self._reopened.note(self._closed, self.now)
+        self._reopened.update(self._closed, self.now)
 
     def _open(self, domain: str) -> None:
         self._closed.discard(domain)
-        self._reopened.note(self._closed, self.now)
+        self._reopened.update(self._closed, self.now)
 
     def _directory(self) -> directory.Directory:
         """Return the servers as entries know them from gossip."""
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -56,7 +56,7 @@
         self._directory = spread.directory
         self._rng = rng
         self._evacuated = evacuated
-        self._reopened = reopened.Reopened(spread.directory)
+        self._reopened = reopened.ReopenedDomains(spread.directory)
         self._warm_up_s: dict[str, float] = {}
         # Names of the entries that serve callers, made once a change.
         self._entries: tuple[membership.Instance, ...] = ()
@@ -84,7 +84,7 @@
 
     def _note_reopened(self, now: float) -> None:
         """Notice a change before the first request that it concerns is placed."""
-        for domain in self._reopened.note(self._evacuated(), now):
+        for domain in self._reopened.update(self._evacuated(), now):
             logger.info(logs.Event("domain-reopened", domain=domain))
 
     def _entry_names(self) -> tuple[str, ...]:
--- a/tests/steps/bench/soak/soak_steps.py
+++ b/tests/steps/bench/soak/soak_steps.py
@@ -40,10 +40,10 @@
 
 @given("soaked entries that take every server for warm unless told otherwise")
 def _(context):
-    def is_cold(held, server_id, warm_up_s, now):
+    def is_cold(domains, server_id, warm_up_s, now):
         return False
 
-    _break(context, reopened.Reopened, "is_cold", is_cold)
+    _break(context, reopened.ReopenedDomains, "is_cold", is_cold)
 
 
 @when('a soak plays "{site}" with seed {seed:d} and evacuations')
--- a/tests/steps/core/balancing/reopened_steps.py
+++ b/tests/steps/core/balancing/reopened_steps.py
@@ -25,13 +25,13 @@
     context.domain, context.warm_up_s = domain, seconds
     for name in (one, other):
         context.known.servers.update(name, _server(name, domain), 0.0)
-    context.reopened = reopened.Reopened(context.known)
+    context.reopened = reopened.ReopenedDomains(context.known)
 
 
 @when('"{domain}" is evacuated at {start:g} s and gets work again at {end:g} s')
 def _(context, domain, start, end):
-    assert context.reopened.note((domain,), start) == ()
-    assert context.reopened.note((), end) == (domain,)
+    assert context.reopened.update((domain,), start) == ()
+    assert context.reopened.update((), end) == (domain,)
 
 
 @when('server "{name}" says at {at:g} s that it stays cold for {seconds:g} s')
