--- a/hyssopfold/core/attempts/quarantine.py
+++ b/hyssopfold/core/attempts/quarantine.py
@@ -55,7 +55,7 @@
     age_s: float
 
 
-class Told(NamedTuple):
+class QuarantineUpdate(NamedTuple):
     """Message: reports, and a hash of all that the sender knows.
 
     A receiver with another hash answers with what it knows if `asks`; without
@@ -64,7 +64,7 @@
 
     reports: tuple[Report, ...]
     digest: int = NO_DIGEST
-    asks: bool = False
+    expects_reply: bool = False
 
 
 class _Record(NamedTuple):
--- a/hyssopfold/entry/placement.py
+++ b/hyssopfold/entry/placement.py
@@ -100,7 +100,7 @@
         parcel: datagram_wire.Parcel
         async for parcel in self._spread.parcels:
             # Comes on a channel of its own.
-            if not isinstance(parcel.message, quarantine.Told):
+            if not isinstance(parcel.message, quarantine.QuarantineUpdate):
                 self._handle(node.Received(parcel.sender, parcel.message))
 
     def _handle(self, event: node.Event) -> None:
--- a/hyssopfold/transport/crash_reports.py
+++ b/hyssopfold/transport/crash_reports.py
@@ -66,7 +66,7 @@
         self._rng = rng
         self._on_change = on_change
         self._known = tuple(known)
-        self._parcels = spread.subscribe(quarantine.Told)
+        self._parcels = spread.subscribe(quarantine.QuarantineUpdate)
         self._news: dict[bytes, None] = {}
         # How often each request is to be reported again.
         self._repeats: dict[bytes, int] = {}
@@ -108,7 +108,7 @@
         report = self.table.report(fingerprint, trio.current_time())
         me = self._spread.myself.name
         others = [one for one in holders[: quarantine.HOLDERS] if one != me]
-        self._spread.post_all(others, quarantine.Told((report,)))
+        self._spread.post_all(others, quarantine.QuarantineUpdate((report,)))
 
     def _note(self, fingerprints: Iterable[bytes]) -> None:
         """Take up what changed, if it concerns all instances."""
@@ -176,9 +176,11 @@
         if digest != quarantine.NO_DIGEST and not parts:
             parts = [()]
         for part in parts[:-1]:
-            self._spread.post_all(names, quarantine.Told(part))
+            self._spread.post_all(names, quarantine.QuarantineUpdate(part))
         for part in parts[-1:]:
-            self._spread.post_all(names, quarantine.Told(part, digest))
+            self._spread.post_all(
+                names, quarantine.QuarantineUpdate(part, digest)
+            )
 
     async def _compare(self) -> None:
         started = trio.current_time()
@@ -188,7 +190,9 @@
                 self._on_change(self.table)
             is_start = now - started < START_S
             count = START_COMPARED if is_start else COMPARED
-            asked = quarantine.Told((), self.table.digest, asks=True)
+            asked = quarantine.QuarantineUpdate(
+                (), self.table.digest, expects_reply=True
+            )
             self._spread.post_all(self._draw(count), asked)
             period_s = START_COMPARE_S if is_start else COMPARE_S
             await trio.sleep(period_s * self._rng.uniform(0.5, 1.0))
@@ -197,10 +201,10 @@
         parcel: datagram_wire.Parcel
         async for parcel in self._parcels:
             told = parcel.message
-            assert isinstance(told, quarantine.Told)
+            assert isinstance(told, quarantine.QuarantineUpdate)
             self._note(self.table.merge(told.reports, trio.current_time()))
             if told.digest not in (quarantine.NO_DIGEST, self.table.digest):
-                self._answer(parcel.sender, told.asks)
+                self._answer(parcel.sender, told.expects_reply)
 
     def _answer(self, name: str, asks: bool) -> None:
         """Tell an instance that knows otherwise what is known here."""
--- a/hyssopfold/transport/datagram_wire.py
+++ b/hyssopfold/transport/datagram_wire.py
@@ -33,11 +33,11 @@
     9: placement.Sync,
     10: placement.Silent,
     11: placement.Busy,
-    12: quarantine.Told,
+    12: quarantine.QuarantineUpdate,
 }
 _NUMBERS = {kind: number for number, kind in _KINDS.items()}
 
-Message = placement.Message | quarantine.Told
+Message = placement.Message | quarantine.QuarantineUpdate
 
 
 class Parcel(NamedTuple):
--- a/hyssopfold/transport/gossip.py
+++ b/hyssopfold/transport/gossip.py
@@ -33,7 +33,7 @@
 _QUEUE = 4096
 _MAX_ADDRESSES = 2000
 # What the bytes of messages are spent on, where that is not placement.
-_PURPOSES: dict[type, str] = {quarantine.Told: "quarantine"}
+_PURPOSES: dict[type, str] = {quarantine.QuarantineUpdate: "quarantine"}
 
 
 def _ignore(address: str, revision: int) -> None:
