--- a/hyssopfold/core/attempts/quarantine.py
+++ b/hyssopfold/core/attempts/quarantine.py
@@ -16,24 +16,24 @@
 from hyssopfold.core.balancing import affinity
 
 # Servers that a request may crash before it is held back.
-LIMIT = 3
+CRASH_LIMIT = 3
 # Crashes from which on all instances are told; most requests that a crash
 # interrupts are seen in one only.
-SHARED_FROM = 2
+SHARE_AFTER_CRASHES = 2
 # Instances that count the crashes of one request until then.
-HOLDERS = 3
+COUNTING_INSTANCES = 3
 # How long a request is remembered after its last crash: one that is held
 # back, and one that may have been interrupted by chance.
-KEEP_S = 86_400.0
-KEEP_SUSPECT_S = 600.0
+QUARANTINE_TTL_S = 86_400.0
+SUSPECT_TTL_S = 600.0
 # A request that is held back runs once more after so long, since servers may
 # have been mended, and a last time after the second.
 TRIALS_AFTER_S = (60.0, 600.0)
 # A trial that brought neither an answer nor a crash may be repeated then.
-TRIAL_S = 30.0
+TRIAL_TIMEOUT_S = 30.0
 # A request that was answered so lately did not crash a server since.
-SOUND_S = 10.0
-MAX_SOUND = 4_096
+RECENT_ANSWER_S = 10.0
+MAX_RECENT_ANSWERS = 4_096
 # Crashes, each followed by an answer, after which more prove nothing.
 MAX_CLEARED = 8
 MAX_RECORDS = 2_000
@@ -94,7 +94,7 @@
         self._name = name
         self._records: dict[bytes, _Record] = {}
         # Requests that were answered here lately, oldest first.
-        self._sound: dict[bytes, float] = {}
+        self._answered_at: dict[bytes, float] = {}
         self._heads: dict[bytes, int] = {}
         self.digest = 0
 
@@ -102,9 +102,11 @@
         return len(self._records)
 
     @property
-    def held(self) -> int:
+    def quarantined(self) -> int:
         """Return how many requests are held back."""
-        return sum(one.counted >= LIMIT for one in self._records.values())
+        return sum(
+            record.counted >= CRASH_LIMIT for record in self._records.values()
+        )
 
     def crashes(self, fingerprint: bytes) -> int:
         """Return how many servers crashed under a request."""
@@ -113,9 +115,9 @@
     def is_shared(self, fingerprint: bytes) -> bool:
         """Return whether all instances are to know of a request."""
         record = self._records.get(fingerprint, _NONE)
-        return len(record.crashed) >= SHARED_FROM
+        return len(record.crashed) >= SHARE_AFTER_CRASHES
 
-    def knows(self, head: bytes) -> bool:
+    def has_head(self, head: bytes) -> bool:
         """Return whether a request with this head may be held back.
 
         Args:
@@ -123,14 +125,23 @@
         """
         return head in self._heads
 
-    def crashed(self, fingerprint: bytes, life: int, now: float) -> bool:
+    def record_crash(
+        self, fingerprint: bytes, incarnation_key: int, now: float
+    ) -> bool:
         """Take in that a server crashed here; return whether that is news."""
         record = self._records.get(fingerprint, _NONE)
-        if life in record.crashed or len(record.cleared) >= MAX_CLEARED:
+        if (
+            incarnation_key in record.crashed
+            or len(record.cleared) >= MAX_CLEARED
+        ):
             return False
-        crashed = record.crashed | {life}
-        cleared = crashed if self._is_sound(fingerprint, now) else frozenset()
-        return self._put(
+        crashed = record.crashed | {incarnation_key}
+        cleared = (
+            crashed
+            if self._is_answered_lately(fingerprint, now)
+            else frozenset()
+        )
+        return self._store(
             fingerprint,
             record._replace(
                 crashed=crashed,
@@ -139,22 +150,25 @@
             ),
         )
 
-    def answered(self, fingerprint: bytes, now: float) -> bool:
+    def record_answer(self, fingerprint: bytes, now: float) -> bool:
         """Take in that a request was answered; return whether that is news."""
-        self._sound.pop(fingerprint, None)
-        self._sound[fingerprint] = now
-        if len(self._sound) > MAX_SOUND:
-            del self._sound[next(iter(self._sound))]
+        self._answered_at.pop(fingerprint, None)
+        self._answered_at[fingerprint] = now
+        if len(self._answered_at) > MAX_RECENT_ANSWERS:
+            del self._answered_at[next(iter(self._answered_at))]
         return self._clear(fingerprint)
 
-    def _is_sound(self, fingerprint: bytes, now: float) -> bool:
-        return now - self._sound.get(fingerprint, -math.inf) < SOUND_S
+    def _is_answered_lately(self, fingerprint: bytes, now: float) -> bool:
+        return (
+            now - self._answered_at.get(fingerprint, -math.inf)
+            < RECENT_ANSWER_S
+        )
 
     def _clear(self, fingerprint: bytes) -> bool:
         record = self._records.get(fingerprint)
         if record is None or not record.counted:
             return False
-        return self._put(fingerprint, record._replace(cleared=record.crashed))
+        return self._store(fingerprint, record._replace(cleared=record.crashed))
 
     def may_run(
         self,
@@ -175,8 +189,8 @@
             now: Monotonic time in seconds.
         """
         record = self._records.get(fingerprint, _NONE)
-        trials = record.counted - LIMIT
-        if trials < 0 or now >= record.last_at + KEEP_S:
+        trials = record.counted - CRASH_LIMIT
+        if trials < 0 or now >= record.last_at + QUARANTINE_TTL_S:
             return True
         if trials >= len(TRIALS_AFTER_S):
             return False
@@ -187,21 +201,25 @@
         names = {*entries, self._name}
         if affinity.rank_unweighted(fingerprint.hex(), names)[0] != self._name:
             return False
-        tried = record._replace(trial=attempt, trial_until=now + TRIAL_S)
-        self._records[fingerprint] = tried
+        started = record._replace(
+            trial=attempt, trial_until=now + TRIAL_TIMEOUT_S
+        )
+        self._records[fingerprint] = started
         return True
 
     def merge(self, reports: Iterable[Report], now: float) -> tuple[bytes, ...]:
         """Take in what another instance knows; return what was news."""
         return tuple(
-            one.fingerprint for one in reports if self._merge_one(one, now)
+            report.fingerprint
+            for report in reports
+            if self._merge_report(report, now)
         )
 
-    def _merge_one(self, report: Report, now: float) -> bool:
+    def _merge_report(self, report: Report, now: float) -> bool:
         record = self._records.get(report.fingerprint, _NONE)
         crashed = record.crashed | frozenset(report.crashed)
         cleared = record.cleared | frozenset(report.cleared)
-        if crashed != record.crashed and self._is_sound(
+        if crashed != record.crashed and self._is_answered_lately(
             report.fingerprint, now
         ):
             cleared = crashed
@@ -213,13 +231,13 @@
         merged = record._replace(
             crashed=crashed, cleared=cleared, last_at=last_at
         )
-        if now >= last_at + _keep_s(merged):
+        if now >= last_at + _ttl_s(merged):
             return False
-        return self._put(report.fingerprint, merged)
+        return self._store(report.fingerprint, merged)
 
-    def _put(self, fingerprint: bytes, record: _Record) -> bool:
+    def _store(self, fingerprint: bytes, record: _Record) -> bool:
         if fingerprint not in self._records:
-            self._make_room()
+            self._evict()
         self._drop(fingerprint)
         self._records[fingerprint] = record
         head = fingerprint[:HEAD_BYTES]
@@ -227,18 +245,18 @@
         self.digest ^= _hash(fingerprint, record)
         return True
 
-    def _make_room(self) -> None:
+    def _evict(self) -> None:
         """Forget the least suspect, oldest record when there are too many."""
         if len(self._records) < MAX_RECORDS:
             return
-        least = min(
+        evicted = min(
             self._records,
-            key=lambda one: (
-                self._records[one].counted >= LIMIT,
-                self._records[one].last_at,
+            key=lambda fingerprint: (
+                self._records[fingerprint].counted >= CRASH_LIMIT,
+                self._records[fingerprint].last_at,
             ),
         )
-        self._drop(least)
+        self._drop(evicted)
 
     def _drop(self, fingerprint: bytes) -> None:
         record = self._records.pop(fingerprint, None)
@@ -252,14 +270,14 @@
 
     def expire(self, now: float) -> bool:
         """Forget requests whose last crash is long ago; return whether any."""
-        ended = [
+        expired = [
             fingerprint
             for fingerprint, record in self._records.items()
-            if now >= record.last_at + _keep_s(record)
+            if now >= record.last_at + _ttl_s(record)
         ]
-        for fingerprint in ended:
+        for fingerprint in expired:
             self._drop(fingerprint)
-        return bool(ended)
+        return bool(expired)
 
     def report(self, fingerprint: bytes, now: float) -> Report:
         """Return what is known of one request."""
@@ -280,13 +298,13 @@
         ]
 
 
-def _keep_s(record: _Record) -> float:
-    return KEEP_S if record.counted >= LIMIT else KEEP_SUSPECT_S
+def _ttl_s(record: _Record) -> float:
+    return QUARANTINE_TTL_S if record.counted >= CRASH_LIMIT else SUSPECT_TTL_S
 
 
 def _hash(fingerprint: bytes, record: _Record) -> int:
     """Return a hash of what is shared of a record, 0 for one that is not."""
-    if len(record.crashed) < SHARED_FROM:
+    if len(record.crashed) < SHARE_AFTER_CRASHES:
         return 0
     sets = (sorted(record.crashed), sorted(record.cleared))
     return zlib.crc32(f"{fingerprint.hex()} {sets}".encode())
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -86,7 +86,7 @@
         self.crashes = crash_reports.CrashReports(
             self.spread,
             self.rng,
-            lambda table: self.meter.quarantined.set({}, table.held),
+            lambda table: self.meter.quarantined.set({}, table.quarantined),
         )
         self.checks = crash_checks.CrashChecks(
             self.connected, self.crashes, self.meter
--- a/hyssopfold/transport/crash_reports.py
+++ b/hyssopfold/transport/crash_reports.py
@@ -73,7 +73,7 @@
 
     def knows(self, head: bytes) -> bool:
         """Return whether a request with this head may be held back."""
-        return self.table.knows(head)
+        return self.table.has_head(head)
 
     def holds(self, fingerprint: bytes, attempt: str) -> bool:
         """Return whether an attempt must not be sent to any server now."""
@@ -84,17 +84,15 @@
 
     def crashed(self, server: messages.Server, fingerprint: bytes) -> None:
         """Take in that a server crashed under a request of this entry."""
-        life = server_stats.incarnation_key(
-            server.server_id, server.incarnation
-        )
+        key = server_stats.incarnation_key(server.server_id, server.incarnation)
         now = trio.current_time()
-        if self.table.crashed(fingerprint, life, now):
+        if self.table.record_crash(fingerprint, key, now):
             self._note([fingerprint])
             self._report(fingerprint)
 
     def answered(self, fingerprint: bytes) -> None:
         """Take in that a request of this entry was answered."""
-        if self.table.answered(fingerprint, trio.current_time()):
+        if self.table.record_answer(fingerprint, trio.current_time()):
             self._note([fingerprint])
             self._report(fingerprint)
 
@@ -107,7 +105,9 @@
         holders = affinity.rank_unweighted(fingerprint.hex(), names)
         report = self.table.report(fingerprint, trio.current_time())
         me = self._spread.myself.name
-        others = [one for one in holders[: quarantine.HOLDERS] if one != me]
+        others = [
+            one for one in holders[: quarantine.COUNTING_INSTANCES] if one != me
+        ]
         self._spread.post_all(others, quarantine.QuarantineUpdate((report,)))
 
     def _note(self, fingerprints: Iterable[bytes]) -> None:
@@ -123,7 +123,7 @@
     def _log(self, fingerprint: bytes) -> None:
         count = self.table.crashes(fingerprint)
         event = "request-suspected" if count else "request-cleared"
-        if count >= quarantine.LIMIT:
+        if count >= quarantine.CRASH_LIMIT:
             event = "request-quarantined"
         logger.warning(
             logs.Event(event, fingerprint=fingerprint.hex(), crashed=count)
--- a/tests/steps/control/quarantine_records_steps.py
+++ b/tests/steps/control/quarantine_records_steps.py
@@ -65,8 +65,8 @@
     async def write():
         table = quarantine.Quarantine("c1")
         now = trio.current_time()
-        table.crashed(_REQUEST, 1, now - age)
-        table.crashed(_REQUEST, 2, now - age)
+        table.record_crash(_REQUEST, 1, now - age)
+        table.record_crash(_REQUEST, 2, now - age)
         context.kept.note(table)
         with trio.move_on_after(2 * quarantine_records.BATCH_S):
             await context.kept.run()
--- a/tests/steps/core/attempts/quarantine_steps.py
+++ b/tests/steps/core/attempts/quarantine_steps.py
@@ -41,26 +41,26 @@
 def _(context, count, name):
     for _ in range(count):
         life = next(context.lives)
-        context.tables[0].crashed(_fingerprint(name), life, context.now)
+        context.tables[0].record_crash(_fingerprint(name), life, context.now)
     _share(context)
 
 
 @when('server {life:d} crashes under request "{name}" {times:d} times')
 def _(context, life, name, times):
     for _ in range(times):
-        context.tables[0].crashed(_fingerprint(name), life, context.now)
+        context.tables[0].record_crash(_fingerprint(name), life, context.now)
 
 
 @when("one server crashes under {count:d} other requests")
 def _(context, count):
     for number in range(count):
         fingerprint = _fingerprint(str(number))
-        context.tables[0].crashed(fingerprint, 1, context.now)
+        context.tables[0].record_crash(fingerprint, 1, context.now)
 
 
 @when('request "{name}" is answered')
 def _(context, name):
-    context.tables[0].answered(_fingerprint(name), context.now)
+    context.tables[0].record_answer(_fingerprint(name), context.now)
     _share(context)
 
 
@@ -96,7 +96,9 @@
 @then('request "{name}" is held back')
 def _(context, name):
     assert not _sending(context, name)
-    assert context.tables[0].knows(_fingerprint(name)[: quarantine.HEAD_BYTES])
+    assert context.tables[0].has_head(
+        _fingerprint(name)[: quarantine.HEAD_BYTES]
+    )
 
 
 @then('no entry sends request "{name}"')
@@ -118,13 +120,13 @@
 @when("a server crashes under that trial")
 def _(context):
     life = next(context.lives)
-    assert context.trying.crashed(_fingerprint("a"), life, context.now)
+    assert context.trying.record_crash(_fingerprint("a"), life, context.now)
     _share(context)
 
 
 @when("that trial is answered")
 def _(context):
-    assert context.trying.answered(_fingerprint("a"), context.now)
+    assert context.trying.record_answer(_fingerprint("a"), context.now)
     _share(context)
 
 
@@ -151,10 +153,10 @@
         fingerprint = _fingerprint(rng.choice("abc"))
         match rng.randrange(4):
             case 0:
-                table.crashed(fingerprint, rng.randrange(12), now)
+                table.record_crash(fingerprint, rng.randrange(12), now)
             case 1:
                 if rng.random() < 0.3:
-                    table.answered(fingerprint, now)
+                    table.record_answer(fingerprint, now)
             case 2:
                 on_the_way.append(table.report(fingerprint, now))
             case 3 if on_the_way:
