--- a/hyssopfold/core/attempts/claims.py
+++ b/hyssopfold/core/attempts/claims.py
@@ -11,11 +11,11 @@
 from typing import NamedTuple
 
 HOLDERS = 2
-KEEP_S = 900.0
+CLAIM_TTL_S = 900.0
 MAX_CLAIMS = 100_000
 
 
-class State(enum.Enum):
+class ClaimState(enum.Enum):
     """What is known of the request that holds a claim."""
 
     RUNNING = "running"
@@ -24,7 +24,7 @@
     NOT_RUN = "not-run"
 
 
-class Kind(enum.Enum):
+class VerdictKind(enum.Enum):
     """What a request that asks for a claim learns."""
 
     GRANTED = "granted"
@@ -42,7 +42,7 @@
     claim_id: bytes
     fingerprint: bytes
     request_id: str
-    state: State
+    state: ClaimState
     status: int
     expires: float
 
@@ -60,92 +60,95 @@
 
     claim_id: bytes
     request_id: str
-    state: State
+    state: ClaimState
     status: int
 
 
 class Verdict(NamedTuple):
     """Whether a request may run; `status` is of the answer before."""
 
-    kind: Kind
+    kind: VerdictKind
     status: int = 0
 
 
-class Table:
+class ClaimTable:
     """The claims that one entry holds.
 
     Args:
-        keep_s: Seconds that a claim is held after its last change.
+        ttl_s: Seconds that a claim is held after its last change.
         max_claims: Most claims held; no more are granted then.
     """
 
     def __init__(
-        self, keep_s: float = KEEP_S, max_claims: int = MAX_CLAIMS
+        self, ttl_s: float = CLAIM_TTL_S, max_claims: int = MAX_CLAIMS
     ) -> None:
-        self._keep_s = keep_s
+        self._ttl_s = ttl_s
         self._max_claims = max_claims
-        self._held: dict[bytes, Claim] = {}
+        self._claims: dict[bytes, Claim] = {}
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._claims)
 
     def ask(self, ask: Ask, now: float) -> Verdict:
         """Grant a claim that nobody holds; else say what came of it."""
         self._expire(now)
-        held = self._held.get(ask.claim_id)
-        if held is None:
-            if len(self._held) >= self._max_claims:
-                return Verdict(Kind.FULL)
-            self._keep(Claim(*ask, State.RUNNING, 0, now + self._keep_s))
-            return Verdict(Kind.GRANTED)
-        if held.fingerprint != ask.fingerprint:
-            return Verdict(Kind.OTHER_REQUEST)
-        if held.request_id == ask.request_id and held.state is State.RUNNING:
+        claim = self._claims.get(ask.claim_id)
+        if claim is None:
+            if len(self._claims) >= self._max_claims:
+                return Verdict(VerdictKind.FULL)
+            self._store(Claim(*ask, ClaimState.RUNNING, 0, now + self._ttl_s))
+            return Verdict(VerdictKind.GRANTED)
+        if claim.fingerprint != ask.fingerprint:
+            return Verdict(VerdictKind.OTHER_REQUEST)
+        if (
+            claim.request_id == ask.request_id
+            and claim.state is ClaimState.RUNNING
+        ):
             # The same request, asked again after a lost answer.
-            return Verdict(Kind.GRANTED)
-        return Verdict(Kind(held.state.value), held.status)
+            return Verdict(VerdictKind.GRANTED)
+        return Verdict(VerdictKind(claim.state.value), claim.status)
 
     def settle(self, settle: Settle, now: float) -> None:
         """Take in what became of a request; `not-run` frees its claim."""
-        held = self._held.get(settle.claim_id)
-        if held is None or held.request_id != settle.request_id:
+        claim = self._claims.get(settle.claim_id)
+        if claim is None or claim.request_id != settle.request_id:
             return
-        if settle.state is State.NOT_RUN:
-            if held.state is State.RUNNING:
-                del self._held[settle.claim_id]
+        if settle.state is ClaimState.NOT_RUN:
+            if claim.state is ClaimState.RUNNING:
+                del self._claims[settle.claim_id]
             return
-        expires = now + self._keep_s
-        self._keep(
-            held._replace(
+        expires = now + self._ttl_s
+        self._store(
+            claim._replace(
                 state=settle.state, status=settle.status, expires=expires
             )
         )
 
-    def take(self, claims: Iterable[Claim], now: float) -> None:
+    def take_over(self, claims: Iterable[Claim], now: float) -> None:
         """Take over what a leaving holder held."""
         for claim in claims:
-            held = self._held.get(claim.claim_id)
-            if held is None or held.state is State.RUNNING:
-                self._keep(claim._replace(expires=now + self._keep_s))
+            own = self._claims.get(claim.claim_id)
+            if own is None or own.state is ClaimState.RUNNING:
+                self._store(claim._replace(expires=now + self._ttl_s))
 
     def claims(self) -> list[Claim]:
         """Return all claims that are held."""
-        return list(self._held.values())
+        return list(self._claims.values())
 
-    def _keep(self, claim: Claim) -> None:
+    def _store(self, claim: Claim) -> None:
         # The newest go last, so that the first ones expire first.
-        self._held.pop(claim.claim_id, None)
-        self._held[claim.claim_id] = claim
+        self._claims.pop(claim.claim_id, None)
+        self._claims[claim.claim_id] = claim
 
     def _expire(self, now: float) -> None:
-        while self._held:
-            first = next(iter(self._held.values()))
+        while self._claims:
+            first = next(iter(self._claims.values()))
             if first.expires > now:
                 return
-            del self._held[first.claim_id]
+            del self._claims[first.claim_id]
 
 
-def rank(claim_id: bytes, names: Iterable[str]) -> list[str]:
+def rank_holders(claim_id: bytes, names: Iterable[str]) -> list[str]:
     """Return `names` by rendezvous hashing, the first holder first.
 
     A name that comes or goes moves only the claims that it ranks first for.
@@ -159,7 +162,11 @@
     return sorted(names, key=score)
 
 
-def combine(verdicts: Iterable[Verdict]) -> Verdict:
+def combine_verdicts(verdicts: Iterable[Verdict]) -> Verdict:
     """Return the one verdict of several holders: any refusal refuses."""
-    refusals = [one for one in verdicts if one.kind is not Kind.GRANTED]
-    return refusals[0] if refusals else Verdict(Kind.GRANTED)
+    refusals = [
+        verdict
+        for verdict in verdicts
+        if verdict.kind is not VerdictKind.GRANTED
+    ]
+    return refusals[0] if refusals else Verdict(VerdictKind.GRANTED)
--- a/hyssopfold/entry/claims.py
+++ b/hyssopfold/entry/claims.py
@@ -55,7 +55,7 @@
         myself: Callable[[], messages.Instance],
         known: directory.Directory,
         peers: rpc.Clients,
-        table: claims.Table,
+        table: claims.ClaimTable,
     ) -> None:
         self._myself = myself
         self._directory = known
@@ -77,7 +77,7 @@
             _digest(exchange, key), _fingerprint(exchange), exchange.request_id
         )
         granted, verdict = await self._ask_all(ask)
-        if verdict.kind is claims.Kind.GRANTED:
+        if verdict.kind is claims.VerdictKind.GRANTED:
             return Held(ask.claim_id, granted)
         self._release(ask, granted)
         logger.info(
@@ -96,24 +96,26 @@
 
         With two lost there may be a claim that nobody reachable knows.
         """
-        ranked = claims.rank(ask.claim_id, self._names())
+        ranked = claims.rank_holders(ask.claim_id, self._names())
         first = ranked[: claims.HOLDERS]
         verdicts = await self._ask_each(first, ask)
         lost = [name for name in first if name not in verdicts]
         if len(lost) == len(first):
-            return (), claims.Verdict(claims.Kind.UNREACHABLE)
+            return (), claims.Verdict(claims.VerdictKind.UNREACHABLE)
         if lost and len(ranked) > claims.HOLDERS:
             spare = ranked[claims.HOLDERS : claims.HOLDERS + 1]
             found = await self._ask_each(spare, ask)
             if not found:
-                verdicts[spare[0]] = claims.Verdict(claims.Kind.UNREACHABLE)
+                verdicts[spare[0]] = claims.Verdict(
+                    claims.VerdictKind.UNREACHABLE
+                )
             verdicts |= found
         granted = tuple(
             name
             for name, verdict in verdicts.items()
-            if verdict.kind is claims.Kind.GRANTED
+            if verdict.kind is claims.VerdictKind.GRANTED
         )
-        return granted, claims.combine(verdicts.values())
+        return granted, claims.combine_verdicts(verdicts.values())
 
     async def _ask_each(
         self, names: list[str], ask: claims.Ask
@@ -145,15 +147,15 @@
             status: Status of the answer.
         """
         states = {
-            "answered": claims.State.ANSWERED,
-            "not-run": claims.State.NOT_RUN,
+            "answered": claims.ClaimState.ANSWERED,
+            "not-run": claims.ClaimState.NOT_RUN,
         }
-        state = states.get(outcome, claims.State.UNKNOWN)
+        state = states.get(outcome, claims.ClaimState.UNKNOWN)
         settle = claims.Settle(held.claim_id, request_id, state, status)
         self._send(_Settling(held.holders, settle))
 
     def _release(self, ask: claims.Ask, granted: tuple[str, ...]) -> None:
-        not_run = claims.State.NOT_RUN
+        not_run = claims.ClaimState.NOT_RUN
         settle = claims.Settle(ask.claim_id, ask.request_id, not_run, 0)
         if granted:
             self._send(_Settling(granted, settle))
@@ -208,7 +210,7 @@
     async def _on_take(
         self, handover: claims_wire.Handover
     ) -> claims_wire.Done:
-        self._table.take(handover.claims, trio.current_time())
+        self._table.take_over(handover.claims, trio.current_time())
         return claims_wire.Done()
 
     async def hand_over(self) -> None:
@@ -216,7 +218,9 @@
         names = [name for name in self._names() if name != self._myself().name]
         for_holder: dict[str, list[claims.Claim]] = defaultdict(list)
         for claim in self._table.claims():
-            for name in claims.rank(claim.claim_id, names)[: claims.HOLDERS]:
+            for name in claims.rank_holders(claim.claim_id, names)[
+                : claims.HOLDERS
+            ]:
                 for_holder[name].append(claim)
         for name, held in for_holder.items():
             for at in range(0, len(held), _BATCH):
@@ -257,29 +261,29 @@
 
 _WAIT_S = 1.0
 _REFUSALS = {
-    claims.Kind.RUNNING: (
+    claims.VerdictKind.RUNNING: (
         409,
         "unknown",
         "wait: the first request with this key is still under way",
     ),
-    claims.Kind.ANSWERED: (
+    claims.VerdictKind.ANSWERED: (
         409,
         "unknown",
         "look at the effect of the first request with this key, which was"
         " answered with status {status}",
     ),
-    claims.Kind.UNKNOWN: (
+    claims.VerdictKind.UNKNOWN: (
         409,
         "unknown",
         "look whether the first request with this key took effect",
     ),
-    claims.Kind.OTHER_REQUEST: (
+    claims.VerdictKind.OTHER_REQUEST: (
         422,
         "not-run",
         "use a new key: this one belongs to a different request",
     ),
-    claims.Kind.FULL: (503, "not-run", "ask again later"),
-    claims.Kind.UNREACHABLE: (503, "not-run", "ask again later"),
+    claims.VerdictKind.FULL: (503, "not-run", "ask again later"),
+    claims.VerdictKind.UNREACHABLE: (503, "not-run", "ask again later"),
 }
 
 
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -105,7 +105,7 @@
             lambda: self.spread.myself,
             self.known,
             rpc.Clients(self.shared.links),
-            core_claims.Table(),
+            core_claims.ClaimTable(),
         )
         self.parts = self._outside(adapters)
         self.apps = self._apps(adapters)
--- a/tests/steps/entry/claims_steps.py
+++ b/tests/steps/entry/claims_steps.py
@@ -69,7 +69,7 @@
 
     async def prepare(self):
         held = await self.grant("not-run")
-        self.ranked = core_claims.rank(held.claim_id, list(self.claims))
+        self.ranked = core_claims.rank_holders(held.claim_id, list(self.claims))
 
     async def grant(self, state):
         entry = self.claims["entry-1"]
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -159,7 +159,7 @@
             lambda: self.known.instances.get(name),
             self.known,
             self,
-            core_claims.Table(),
+            core_claims.ClaimTable(),
         )
 
     def to(self, address):
