--- a/hyssopfold/core/attempts/attempt.py
+++ b/hyssopfold/core/attempts/attempt.py
@@ -50,7 +50,7 @@
     """
 
     def __init__(
-        self, request: messages.Request, budget: budget_module.Budget
+        self, request: messages.Request, budget: budget_module.RetryBudget
     ) -> None:
         self.request = request
         self.phase = Phase.NEW
--- a/hyssopfold/core/attempts/budget.py
+++ b/hyssopfold/core/attempts/budget.py
@@ -2,19 +2,19 @@
 
 import collections
 
-RATIO = 0.1
-RESERVE = 10.0
+DEFAULT_RATIO = 0.1
+DEFAULT_RESERVE = 10.0
 # What requests have earned may be spent for so long: an entry with a few
 # requests a second meets failures in clusters, not evenly.
-SAVED_S = 10.0
+WINDOW_S = 10.0
 
 
-class Budget:
+class RetryBudget:
     """Allow retries up to a share of requests.
 
     Without it, servers that are slow for all make every request come three
     times, which is what keeps them slow. A small reserve serves a quiet entry.
-    In any `SAVED_S` no more is spent than the reserve and the share of the
+    In any `WINDOW_S` no more is spent than the reserve and the share of the
     requests of that time and of as long before it.
 
     Args:
@@ -23,17 +23,19 @@
             may be changed at any time.
     """
 
-    def __init__(self, ratio: float = RATIO, reserve: float = RESERVE) -> None:
+    def __init__(
+        self, ratio: float = DEFAULT_RATIO, reserve: float = DEFAULT_RESERVE
+    ) -> None:
         self._ratio = ratio
         self.reserve = reserve
         self.left = reserve
-        # Earned in each second of the last `SAVED_S`.
+        # Earned in each second of the last `WINDOW_S`.
         self._earned: collections.deque[tuple[int, float]] = collections.deque()
 
     def earn(self, now: float) -> None:
         """Count a request at a time, in seconds."""
         second = int(now)
-        while self._earned and self._earned[0][0] <= second - SAVED_S:
+        while self._earned and self._earned[0][0] <= second - WINDOW_S:
             self._earned.popleft()
         if self._earned and self._earned[-1][0] == second:
             self._earned[-1] = (second, self._earned[-1][1] + self._ratio)
--- a/hyssopfold/entry/carrier_parts.py
+++ b/hyssopfold/entry/carrier_parts.py
@@ -59,6 +59,6 @@
     upstream: upstream.Upstream
     quarantine: Quarantine
     meter: metrics.Metrics
-    budget_of: Callable[[str], budget.Budget]
+    budget_of: Callable[[str], budget.RetryBudget]
     refuse: Callable[[exchange_module.Exchange, http.Refusal], Awaitable[None]]
     expects_silence: bool = True
--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -57,7 +57,7 @@
 
     max_body_bytes: int = exchange_module.MAX_BODY_BYTES
     dialect: dialect_module.Dialect = dialect_module.OURS
-    retry_share: float = budget.RATIO
+    retry_share: float = budget.DEFAULT_RATIO
     shared_retry_reserve: float = 0.0
     log_lines_per_s: float = log_output.LINES_PER_S
 
@@ -111,7 +111,7 @@
         )
         self._callers = callers
         self._sampler = request_log.Sampler(callers.log_lines_per_s)
-        self._budgets: dict[str, budget.Budget] = {}
+        self._budgets: dict[str, budget.RetryBudget] = {}
         self._config = config
         self._meter = meter
         self._rng = rng
@@ -122,11 +122,11 @@
         """Return the lines of good requests that were not written."""
         return self._sampler.left_out
 
-    def budget_of(self, pool: str) -> budget.Budget:
+    def budget_of(self, pool: str) -> budget.RetryBudget:
         """Return the retries that this entry may still make in a pool."""
         held = self._budgets.get(pool)
         if held is None:
-            held = self._budgets[pool] = budget.Budget(
+            held = self._budgets[pool] = budget.RetryBudget(
                 self._callers.retry_share
             )
             held.left = held.reserve = self._reserve()
@@ -141,7 +141,7 @@
         """
         shared = self._callers.shared_retry_reserve
         if not shared:
-            return budget.RESERVE
+            return budget.DEFAULT_RESERVE
         return shared / max(1, len(self._parts.known.ready_entries()))
 
     async def serve(
--- a/tests/steps/core/attempts/attempt_steps.py
+++ b/tests/steps/core/attempts/attempt_steps.py
@@ -23,7 +23,7 @@
 
 def _begin(repeatable=False, limit_s=20.0, left=None, has_body=False):
     request = messages.Request("r", repeatable, has_body, limit_s)
-    machine = attempt.Attempts(request, left or budget.Budget())
+    machine = attempt.Attempts(request, left or budget.RetryBudget())
     machine.handle(messages.Started(), 0.0)
     machine.handle(messages.Granted("s1"), 0.0)
     return machine
@@ -64,7 +64,7 @@
 
 @when("{count:d} requests in a row lose each attempt")
 def _(context, count):
-    left = budget.Budget()
+    left = budget.RetryBudget()
     context.retries = 0
     for _ in range(count):
         machine = _begin(repeatable=True, left=left)
@@ -110,7 +110,7 @@
 
 
 def _spent():
-    left = budget.Budget()
+    left = budget.RetryBudget()
     left.left = 0.0
     return left
 
--- a/tests/steps/core/attempts/budget_steps.py
+++ b/tests/steps/core/attempts/budget_steps.py
@@ -14,7 +14,7 @@
 
 @given("a budget of a tenth, with a reserve of {reserve:g}")
 def _(context, reserve):
-    context.budget = budget.Budget(0.1, reserve)
+    context.budget = budget.RetryBudget(0.1, reserve)
     context.now = 100.0
 
 
@@ -44,7 +44,7 @@
     for seed in range(runs):
         rng = random.Random(seed)
         reserve = 82 / entries
-        held = [budget.Budget(0.1, reserve) for _ in range(entries)]
+        held = [budget.RetryBudget(0.1, reserve) for _ in range(entries)]
         requests, retries = _play(rng, held)
         _check(requests, retries, reserve * entries, seed)
 
--- a/tests/support/attempts_machine.py
+++ b/tests/support/attempts_machine.py
@@ -27,7 +27,7 @@
     def __init__(self):
         super().__init__()
         self.now = 0.0
-        self.budget = budget.Budget()
+        self.budget = budget.RetryBudget()
         self.attempts = None
 
     @stateful.precondition(lambda self: self.in_phase(None, _PHASE.DONE))
