--- a/hyssopfold/core/attempts/attempt.py
+++ b/hyssopfold/core/attempts/attempt.py
@@ -13,10 +13,10 @@
 # time left, and another server or entry may take it.
 RETRY_AFTER_S = 0.1
 # Tries beyond the operator's number, at servers that never saw the request.
-EXTRA = 2
+EXTRA_ATTEMPTS = 2
 # On a connection that has been used before, silence may be the connection's
 # own: a first attempt there leaves this share of the time for another one.
-REUSED_SHARE = 0.5
+REUSED_CONNECTION_SHARE = 0.5
 
 _SENT = messages.Sent
 Effects = tuple[messages.Effect, ...]
@@ -64,9 +64,9 @@
         self.last_reason = ""
         # Servers that may have seen the request, as far as an operator counts:
         # not those that took no connection, nor others at their address.
-        self.counted = 0
+        self.counted_attempts = 0
         # A retry was taken from the budget already.
-        self._spent = False
+        self._has_retry = False
 
     @property
     def outcome(self) -> messages.Outcome:
@@ -117,7 +117,7 @@
         fresh = not repeat or number > 1
         deadline = self._deadline
         if not fresh and self.request.expects_silence:
-            deadline = now + (deadline - now) * REUSED_SHARE
+            deadline = now + (deadline - now) * REUSED_CONNECTION_SHARE
         return (messages.Send(number, fresh, deadline),)
 
     def no_slot(self, event: messages.NoSlot) -> Effects:
@@ -130,12 +130,12 @@
     def bytes_sent(self) -> Effects:
         """Note that the server may have the request from now on."""
         self.expect(Phase.SENDING)
-        self._note_sent()
+        self._record_sent()
         return ()
 
-    def _note_sent(self) -> None:
+    def _record_sent(self) -> None:
         if self.last_sent is _SENT.NOT_SENT:
-            self.counted += 1
+            self.counted_attempts += 1
         self.last_sent = _SENT.MAYBE_SENT
 
     def body_began(self) -> Effects:
@@ -166,25 +166,25 @@
     def answer_began(self, event: messages.AnswerBegan, now: float) -> Effects:
         """Relay the answer if it is this request's own and can be whole."""
         self.expect(Phase.SENDING)
-        self._note_sent()
-        mine = event.echoed == self.request.request_id
-        if event.misdirected or (event.not_run and mine):
+        self._record_sent()
+        is_own = event.echoed == self.request.request_id
+        if event.misdirected or (event.not_run and is_own):
             self.last_sent = _SENT.REFUSED_NOT_RUN
-            why = "shed by the server"
+            reason = "shed by the server"
             if event.misdirected:
-                why = "another server has the address"
-                self.counted -= 1
-            return self._failed(why, now)
-        fault = _fault(event, mine)
+                reason = "another server has the address"
+                self.counted_attempts -= 1
+            return self._failed(reason, now)
+        fault = _fault(event, is_own)
         if fault:
             return self._failed(fault, now)
-        if self._is_worth_another(event.status, now):
-            self._spent = True
+        if self._is_worth_retry(event.status, now):
+            self._has_retry = True
             return self._failed(f"status {event.status}", now)
         self.phase = Phase.RELAYING
         return (messages.Relay(),)
 
-    def _is_worth_another(self, status: int, now: float) -> bool:
+    def _is_worth_retry(self, status: int, now: float) -> bool:
         """Return whether a failed answer is better asked for elsewhere.
 
         A server whose health check passes may fail a part of its requests;
@@ -220,31 +220,36 @@
         self.last_reason = reason
         self.phase = Phase.ACQUIRING
         close = messages.CloseConnection()
-        if self._spent or self._may_retry(now):
-            self._spent = False
-            again = messages.Acquire(self.tried, self._deadline)
-            return (close, again)
+        if self._has_retry or self._may_retry(now):
+            self._has_retry = False
+            acquire = messages.Acquire(self.tried, self._deadline)
+            return (close, acquire)
         error = "attempt-failed"
         if now >= self._deadline:
             error = "deadline-passed"
         return (close, *self._refuse(error, reason, RETRY_AFTER_S))
 
     def _may_retry(self, now: float) -> bool:
-        safe = self.request.repeatable or not self.maybe_ran
+        may_repeat = self.request.repeatable or not self.maybe_ran
         in_time = now < self._deadline
-        most = self.request.max_attempts
-        tries_left = self.counted < most and len(self.tried) < most + EXTRA
-        possible = safe and in_time and tries_left and not self._body_dropped
+        max_attempts = self.request.max_attempts
+        tries_left = (
+            self.counted_attempts < max_attempts
+            and len(self.tried) < max_attempts + EXTRA_ATTEMPTS
+        )
+        possible = (
+            may_repeat and in_time and tries_left and not self._body_dropped
+        )
         # What reached no server adds no load to any: it needs no budget.
         if possible and self.last_sent is _SENT.NOT_SENT:
             return True
         return possible and self._budget.spend()
 
-    def _refuse(self, error: str, reason: str, wait_s: float) -> Effects:
+    def _refuse(self, error: str, reason: str, retry_after_s: float) -> Effects:
         outcome = self.outcome
         if outcome is messages.Outcome.NOT_RUN and self.maybe_ran:
             raise InvariantError("not-run said of what may have run")
-        refusal = messages.Refuse(error, outcome, reason, wait_s)
+        refusal = messages.Refuse(error, outcome, reason, retry_after_s)
         return (refusal, *self._finish(outcome.value))
 
     def _finish(self, outcome: str) -> Effects:
@@ -252,9 +257,9 @@
         return (messages.Finish(outcome),)
 
 
-def _fault(event: messages.AnswerBegan, mine: bool) -> str:
+def _fault(event: messages.AnswerBegan, is_own: bool) -> str:
     """Return why an answer must not be passed on, or ""."""
-    if event.echoed is not None and not mine:
+    if event.echoed is not None and not is_own:
         return "an answer to a different request"
     if event.status < 200:
         return f"unasked status {event.status}"
--- a/tests/support/attempts_machine.py
+++ b/tests/support/attempts_machine.py
@@ -142,8 +142,8 @@
         if self.attempts is not None:
             assert self.relays <= 1
             most = messages.MAX_ATTEMPTS
-            assert self.attempts.counted <= most
-            assert len(self.attempts.tried) <= most + attempt.EXTRA
+            assert self.attempts.counted_attempts <= most
+            assert len(self.attempts.tried) <= most + attempt.EXTRA_ATTEMPTS
 
 
 def run():
