--- a/hyssopfold/core/balancing/grantor.py
+++ b/hyssopfold/core/balancing/grantor.py
@@ -201,7 +201,7 @@
             self._withdraw(release.holder, release.number)
             return []
         self._health.done(hold.server_id, release.done, now)
-        self._queue.freed(now)
+        self._queue.record_free(now)
         return self.serve(now)
 
     def _withdraw(self, holder: messages.Member, number: int) -> None:
@@ -222,7 +222,7 @@
         """Grant to who waits, and deny who has waited too long."""
         effects: list[messages.Effect] = [
             self._deny(ask, "waited-too-long", now)
-            for ask in self._queue.expired(now)
+            for ask in self._queue.pop_expired(now)
         ]
         for ask in self._queue.items():
             server = self._pick(ask)
--- a/tests/steps/core/admission/queue_steps.py
+++ b/tests/steps/core/admission/queue_steps.py
@@ -28,7 +28,7 @@
     waiting = _queue(context)
     for _ in range(200):
         context.now += seconds
-        waiting.freed(context.now)
+        waiting.record_free(context.now)
 
 
 @when("{seconds:d} s pass in the queue without a free slot")
@@ -57,6 +57,6 @@
 
 @then('at {seconds:g} s "{item}" has waited too long')
 def _(context, seconds, item):
-    assert context.waiting.expired(seconds - 0.1) == []
-    assert context.waiting.expired(seconds) == [item]
+    assert context.waiting.pop_expired(seconds - 0.1) == []
+    assert context.waiting.pop_expired(seconds) == [item]
     assert len(context.waiting) == 0
