--- a/hyssopfold/core/draining/stop.py
+++ b/hyssopfold/core/draining/stop.py
@@ -25,12 +25,12 @@
 
     Callers cache look-ups, so an entry that leaves goes on taking requests
     until the last look-up that may name it has expired: `lookup_ttl_s` after
-    all others know that it leaves, which takes `spread_s`. Only then are
+    all others know that it leaves, which takes `propagation_s`. Only then are
     connections closed, and only those without a request.
 
     Args:
         lookup_ttl_s: Seconds that callers may cache a look-up.
-        spread_s: Seconds until other entries stop naming this one.
+        propagation_s: Seconds until other entries stop naming this one.
         max_s: Longest a stop may take in all.
         serve_s: Seconds for which new requests are taken, when a stop must
             not wait for the look-ups: callers that come later are turned away
@@ -40,37 +40,37 @@
     def __init__(
         self,
         lookup_ttl_s: float,
-        spread_s: float,
+        propagation_s: float,
         max_s: float,
         serve_s: float | None = None,
     ) -> None:
-        self._wait_s = lookup_ttl_s + spread_s
-        self.turns_away = serve_s is not None
+        self._wait_s = lookup_ttl_s + propagation_s
+        self.rejects_callers = serve_s is not None
         if serve_s is not None:
             self._wait_s = min(serve_s, self._wait_s)
         self._max_s = max_s
-        self._asked_at = 0.0
+        self._began_at = 0.0
         self.phase = Phase.SERVING
-        self.cut = 0
+        self.cut_requests = 0
 
-    def ask(self, now: float) -> None:
+    def begin(self, now: float) -> None:
         """Begin to stop; asking again changes nothing."""
         if self.phase is Phase.SERVING:
             self.phase = Phase.LEAVING
-            self._asked_at = now
+            self._began_at = now
 
-    def force(self, seen: Observed) -> None:
+    def force(self, observed: Observed) -> None:
         """End at once, cutting the requests under way."""
         self.phase = Phase.DONE
-        self.cut = seen.requests
+        self.cut_requests = observed.requests
 
-    def tick(self, seen: Observed, now: float) -> Phase:
+    def tick(self, observed: Observed, now: float) -> Phase:
         """Return the phase at `now`, given what is open."""
-        if self.phase is Phase.LEAVING and now >= self._asked_at + self._wait_s:
+        if self.phase is Phase.LEAVING and now >= self._began_at + self._wait_s:
             self.phase = Phase.DRAINING
-        if self.phase is Phase.DRAINING and seen.connections == 0:
+        if self.phase is Phase.DRAINING and observed.connections == 0:
             self.phase = Phase.DONE
-        late = now >= self._asked_at + self._max_s
-        if self.phase in (Phase.LEAVING, Phase.DRAINING) and late:
-            self.force(seen)
+        is_overdue = now >= self._began_at + self._max_s
+        if self.phase in (Phase.LEAVING, Phase.DRAINING) and is_overdue:
+            self.force(observed)
         return self.phase
--- a/hyssopfold/entry/leaving.py
+++ b/hyssopfold/entry/leaving.py
@@ -49,7 +49,7 @@
         A stop that turns callers away returns once no more are to be taken.
         """
         began = trio.current_time()
-        self._steps.ask(began)
+        self._steps.begin(began)
         self._spread.update_self(state="leaving")
         self._leave_placement()
         self._listener.close_after_answers()
@@ -62,11 +62,13 @@
                 # No other entry asks this one any more.
                 handed_over = True
                 await self._hand_over()
-                if self._steps.turns_away:
+                if self._steps.rejects_callers:
                     # The addresses are closed next, the rest is finished.
                     break
         took = trio.current_time() - began
-        logger.info(logs.Event("left", after_s=took, cut=self._steps.cut))
+        logger.info(
+            logs.Event("left", after_s=took, cut=self._steps.cut_requests)
+        )
 
     def _tick(self, now: float) -> None:
         before = self._steps.phase
@@ -79,5 +81,5 @@
             logger.info(logs.Event("stop-phase", phase=after.value, **fields))
         if after is stop.Phase.DRAINING:
             self._listener.close_idle(IDLE_BEFORE_CLOSE_S, now)
-        if self._steps.cut:
+        if self._steps.cut_requests:
             self._listener.cut("stop_max_s is over")
--- a/tests/steps/core/draining/stop_steps.py
+++ b/tests/steps/core/draining/stop_steps.py
@@ -12,7 +12,7 @@
 )
 def _(context, asked, ttl, spread, most):
     context.stop = stop.Stop(ttl, spread, most)
-    context.stop.ask(asked)
+    context.stop.begin(asked)
 
 
 @then("the stop at {now:g} with {count:d} connections is {phase}")
@@ -23,4 +23,4 @@
 
 @then("the stop has cut {count:d}")
 def _(context, count):
-    assert context.stop.cut == count, context.stop.cut
+    assert context.stop.cut_requests == count, context.stop.cut_requests
--- a/tests/steps/entry/leaving_steps.py
+++ b/tests/steps/entry/leaving_steps.py
@@ -178,14 +178,14 @@
 
 @then("the stopped entry cut nothing")
 def _(context):
-    assert context.steps.cut == 0, context.steps.cut
+    assert context.steps.cut_requests == 0, context.steps.cut_requests
     assert not _cuts(context), context.lines.events
     assert not context.path.placement.held
 
 
 @then("the stopped entry cut {count:d} request and said so")
 def _(context, count):
-    assert context.steps.cut == count, context.steps.cut
+    assert context.steps.cut_requests == count, context.steps.cut_requests
     assert [one["requests"] for one in _cuts(context)] == [count]
 
 
--- a/tests/steps/entry/mixed_steps.py
+++ b/tests/steps/entry/mixed_steps.py
@@ -73,4 +73,4 @@
     others = [one for one in books.told.values() if one is not answered]
     assert not others, others[:5]
     assert not books.cut, books.cut
-    assert [one.cut for one in context.mixed.stops] == [0, 0]
+    assert [one.cut_requests for one in context.mixed.stops] == [0, 0]
