--- a/hyssopfold/core/balancing/affinity.py
+++ b/hyssopfold/core/balancing/affinity.py
@@ -1,9 +1,9 @@
-"""In which order the servers of a pool are asked for one object.
+"""Rank the servers of a pool for an object by weighted rendezvous hashing.
 
-Weighted rendezvous hashing: every entry ranks the servers alike without a
-word, an object keeps its first servers while they are there, and a server
-that comes or goes moves only the objects for which it ranks first. A server
-of twice the weight ranks first for twice as many objects.
+Every entry computes the same ranking without messages. An object keeps its
+first servers as long as they are members, and a server that joins or leaves
+moves only the objects for which it ranks first. A server of twice the weight
+ranks first for twice as many objects.
 """
 
 from collections.abc import Iterable
@@ -11,23 +11,31 @@
 import hashlib
 import math
 
-# Objects whose ranking is kept; the longest unused are dropped.
+# Greatest number of cached rankings; the oldest are dropped.
 MAX_CACHED_RANKINGS = 20_000
 _SCALE = float(1 << 64)
 
 
 class Ranking:
-    """Rank servers by object, for one set of servers at a time."""
+    """Cache of rankings by object, for one set of weights at a time.
+
+    Used by `local.Chooser`, one for each pool.
+    """
 
     def __init__(self) -> None:
         self._weights: Mapping[str, float] = {}
         self._rankings: dict[str, tuple[str, ...]] = {}
 
     def rank(self, key: str, weights: Mapping[str, float]) -> tuple[str, ...]:
-        """Return the servers of `weights`, the best for `key` first.
+        """Return the servers ranked for an object, the first one first.
+
+        Cached rankings are valid for one `weights` object, compared by
+        identity: comparing the weights of a large pool on each request would
+        cost more than the choice itself.
 
-        What is kept holds for one object of weights: comparing those of a
-        large pool with each request would cost more than the choice itself.
+        Args:
+            key: The object.
+            weights: Weight of each server.
         """
         if weights is not self._weights:
             self._weights = weights
@@ -42,7 +50,7 @@
 
 
 def rank_weighted(key: str, weights: Mapping[str, float]) -> tuple[str, ...]:
-    """Return the servers by weight and by the hash of each with `key`."""
+    """Return the servers ranked for `key`, by their weights."""
     return tuple(
         sorted(
             weights,
@@ -52,11 +60,11 @@
 
 
 def rank_unweighted(key: str, names: Iterable[str]) -> tuple[str, ...]:
-    """Return `names` by the hash of each with `key`, all of one weight."""
+    """Return `names` ranked for `key`, all with the same weight."""
     return rank_weighted(key, dict.fromkeys(names, 1.0))
 
 
 def _draw(key: str, name: str) -> float:
-    """Return a number above 0 and below 1, alike in every process."""
+    """Return a hash above 0 and below 1, the same in every process."""
     digest = hashlib.blake2b(f"{key}\0{name}".encode(), digest_size=8).digest()
     return (int.from_bytes(digest, "big") + 0.5) / _SCALE
--- a/hyssopfold/core/balancing/allowance.py
+++ b/hyssopfold/core/balancing/allowance.py
@@ -1,10 +1,11 @@
-"""How many requests entries together may send to a cold server.
-
-A cold server crashes under a rate that a warm one bears, and no entry sees
-what the others send. So a few entries, drawn by rendezvous hashing, hold the
-whole allowance of a server between them, each as a token bucket. In any
-second they send at most the rate plus one request each. An entry that does
-not know of another one draws itself too often, but takes no larger part.
+"""Limit the rate of requests that all entries together send to a cold server.
+
+A cold server crashes under a rate that a warm one bears, and no entry knows
+how much the others send. Rendezvous hashing therefore assigns each server's
+rate to a fixed number of entries, each of which enforces its equal share with a
+token bucket. In any second they send at most the rate plus one request each.
+An entry that does not know of all others may choose itself wrongly, but its
+share is no larger.
 """
 
 from collections.abc import Collection
@@ -12,11 +13,11 @@
 
 from hyssopfold.core.balancing import affinity
 
-# Entries that may send to one cold server: two bear the loss of one, and add
-# no more than two requests to a second's allowance.
+# Entries that may send to one cold server. With two, one may fail, and the
+# token buckets add no more than two requests to a second's rate.
 SENDERS = 2
-# What is left of the bound for requests on their way, in clocks' and links'
-# jitter, when a burst of one second falls into another.
+# Share of the rate that is used. The rest allows for jitter of clocks and
+# links, which can move the requests of one second into the next.
 RATE_FACTOR = 0.8
 
 
@@ -26,7 +27,9 @@
 
 
 class Allowance:
-    """This entry's part of what cold servers bear.
+    """This entry's share of the rate that cold servers bear.
+
+    Used by `local.Chooser` to decide whether a cold server may get a request.
 
     Args:
         name: Name of this entry.
@@ -35,27 +38,28 @@
     def __init__(self, name: str) -> None:
         self._name = name
         self._buckets: dict[str, _Bucket] = {}
-        # Who holds each server's allowance, for one object of entries.
+        # The entries that may send to each server, valid for `_senders_of`.
         self._senders: dict[str, tuple[str, ...]] = {}
         self._senders_of: Collection[str] = ()
 
     def record_cold(self, server_id: str, now: float) -> None:
-        """Count what may go to a server from now on: it is known to be cold.
+        """Start the token bucket of a server that is known to be cold.
 
-        A fresh process does not know what it sent before it restarted.
+        The bucket starts empty: after a restart the process does not know what
+        it sent before.
         """
         self._buckets.setdefault(server_id, _Bucket(0.0, now))
 
     def may_send(
         self, server_id: str, rate: float, entries: Collection[str], now: float
     ) -> bool:
-        """Return whether a request may go to a cold server now.
+        """Return whether a request may be sent to a cold server now.
 
         Args:
             server_id: The server.
-            rate: Requests a second that it bears, from all entries.
+            rate: Requests a second that it bears from all entries together.
             entries: Names of the entries that serve callers; the same object
-                until one of them changes.
+                as long as none of them changes.
             now: Monotonic time in seconds.
         """
         senders = self._draw_senders(server_id, entries)
@@ -79,7 +83,7 @@
         return senders
 
     def spend(self, server_id: str) -> None:
-        """Count a request that goes to a cold server."""
+        """Take a token for a request that is sent to a cold server."""
         bucket = self._buckets.get(server_id)
         if bucket is not None:
             self._buckets[server_id] = bucket._replace(tokens=bucket.tokens - 1)
--- a/hyssopfold/core/balancing/estimates.py
+++ b/hyssopfold/core/balancing/estimates.py
@@ -1,40 +1,52 @@
-"""How long a request takes, from what answers took here before.
+"""Estimates of run and queueing times from the answers that an entry received.
 
-Slots and queues say little by themselves: nine requests before one are a tenth
-of a second where they take 0.1 s each, and more than its goal where they take
-two. Few numbers are kept for each route and pool, and each answer moves them a
-little, so that what changes is followed and old answers are forgotten.
+The length of a queue alone does not tell the wait: nine requests ahead mean a
+tenth of a second where they take 0.1 s each, and more than the latency goal
+where they take two. The module keeps a few numbers for each route and pool.
+Each answer moves them by a small step, so that they follow changes and old
+answers lose their weight.
 """
 
 from typing import NamedTuple
 
-# Before there are answers: a server that knows the object takes about half of
-# the goal, one that does not three times as long.
+# Run times before the first answer, as multiples of the latency goal: a server
+# that has the object cached takes about half of the goal, one that does not
+# takes three times as long.
 PRIOR_CACHED = 0.45
 PRIOR_UNCACHED = 1.4
-# A quantile moves by this share of itself with each answer.
+# Each answer moves a quantile estimate by up to this share of itself.
 QUANTILE_STEP = 0.1
 CACHED_QUANTILE = 0.5
-# One that must not end too late is planned for slow runs too.
+# Above the median, so that a request which must not be late allows for slow
+# runs.
 UNCACHED_QUANTILE = 0.7
-# Answers that took so many times as long as at a server that knows the object
-# are taken for those of one that did not.
+# An answer that took longer than this multiple of the run time with the object
+# cached is taken for one of a server that did not have it cached.
 UNCACHED_RATIO = 1.7
-# Share of a new answer in a pool's mean run.
+# Weight of a new answer in the moving average of a pool's run time.
 MEAN_GAIN = 0.05
-# A goal where the table names none, in seconds.
+# Latency goal of routes without one in their row of the table.
 DEFAULT_GOAL_S = 0.5
 
 
 class RequestKind(NamedTuple):
-    """Requests that take alike: of one route, to servers of one region."""
+    """Requests with like run times: of one route, to servers of one region."""
 
     route: str
     region: str
 
 
 class AnswerSample(NamedTuple):
-    """What an answer told: `waits` if requests waited at its server then."""
+    """A measured answer.
+
+    Attributes:
+        kind: Kind of the request.
+        pool: Pool of the server.
+        goal_s: Latency goal in seconds, 0 for none.
+        took_s: Seconds from the request to the answer.
+        was_cached: Whether the server was likely to have the object cached.
+        had_queue: Whether requests were waiting at the server.
+    """
 
     kind: RequestKind
     pool: str
@@ -45,7 +57,10 @@
 
 
 class Estimates:
-    """Running figures of the requests of one entry."""
+    """Moving estimates of the run times of one entry's requests.
+
+    Used by `local.Chooser` to compare servers.
+    """
 
     def __init__(self) -> None:
         self._cached_s: dict[RequestKind, float] = {}
@@ -53,7 +68,13 @@
         self._mean_run_s: dict[str, float] = {}
 
     def run_s(self, kind: RequestKind, goal_s: float, is_cached: bool) -> float:
-        """Return the time that a request takes at a server without a queue."""
+        """Return the seconds that a request takes at a server without a queue.
+
+        Args:
+            kind: Kind of the request.
+            goal_s: Its latency goal in seconds, 0 for none.
+            is_cached: Whether the server is likely to have its object cached.
+        """
         goal_s = goal_s or DEFAULT_GOAL_S
         if is_cached:
             return self._cached_s.get(kind, PRIOR_CACHED * goal_s)
@@ -67,34 +88,41 @@
     def wait_s(
         self, pool: str, requests: float, slots: int, goal_s: float
     ) -> float:
-        """Return the wait behind `requests` at a server with `slots`."""
-        before = max(0.0, requests + 1 - slots)
+        """Return the seconds that a request waits in a server's queue.
+
+        Args:
+            pool: Pool of the server.
+            requests: Requests running and waiting at the server.
+            slots: Slots of the server.
+            goal_s: Latency goal in seconds, 0 for none.
+        """
+        ahead = max(0.0, requests + 1 - slots)
         mean_s = self._mean_run_s.get(
             pool, PRIOR_CACHED * (goal_s or DEFAULT_GOAL_S)
         )
-        return before * mean_s / max(1, slots)
+        return ahead * mean_s / max(1, slots)
 
     def observe(self, answer: AnswerSample) -> None:
-        """Take in what an answer took."""
+        """Update the estimates with a measured answer."""
         kind = answer.kind
         cached_s = self.run_s(kind, answer.goal_s, is_cached=True)
         seems_uncached = answer.took_s > UNCACHED_RATIO * cached_s
         is_uncached = seems_uncached and not answer.was_cached
         if not answer.had_queue:
-            # With requests waiting at the server, a part of it was a wait.
+            # With a queue at the server, a part of the time was waiting.
             self._move_quantile(answer, is_uncached)
         run_s = self.run_s(kind, answer.goal_s, is_cached=not is_uncached)
         mean_s = self._mean_run_s.get(answer.pool, run_s)
         self._mean_run_s[answer.pool] = mean_s + MEAN_GAIN * (run_s - mean_s)
 
     def _move_quantile(self, answer: AnswerSample, is_uncached: bool) -> None:
-        held = self._uncached_s if is_uncached else self._cached_s
+        run_times = self._uncached_s if is_uncached else self._cached_s
         quantile = UNCACHED_QUANTILE if is_uncached else CACHED_QUANTILE
-        old = held.get(answer.kind)
-        if old is None:
-            held[answer.kind] = answer.took_s
+        previous_s = run_times.get(answer.kind)
+        if previous_s is None:
+            run_times[answer.kind] = answer.took_s
             return
-        above = answer.took_s > old
-        held[answer.kind] = old * (
-            1 + QUANTILE_STEP * (quantile - (not above)) * 2
+        is_above = answer.took_s > previous_s
+        run_times[answer.kind] = previous_s * (
+            1 + QUANTILE_STEP * (quantile - (not is_above)) * 2
         )
--- a/hyssopfold/core/balancing/load_reports.py
+++ b/hyssopfold/core/balancing/load_reports.py
@@ -1,7 +1,7 @@
-"""Loads of busy servers that entries near each other tell one another.
+"""Load reports of busy servers that neighbouring entries exchange.
 
-Where hundreds of entries share the servers, each hears of a server's load from
-its own requests too rarely to choose by it.
+Where hundreds of entries share the servers, the answers to an entry's own
+requests report a server's load too rarely to base choices on it.
 """
 
 from collections.abc import Collection
@@ -11,8 +11,8 @@
 
 from hyssopfold.core.balancing import messages
 
-# How old another's report may be for a choice between two servers, and for
-# refusing a request for want of room.
+# Greatest age in seconds of another entry's report that decides between two
+# servers, and of one that causes a refusal.
 CHOICE_MAX_AGE_S = 2.0
 REFUSAL_MAX_AGE_S = 0.5
 
@@ -27,20 +27,24 @@
 
 
 class LoadReports:
-    """Keep what others told, and what is to be told them."""
+    """Load reports received from other entries, and those to be sent to them.
+
+    Used by `local.Chooser`.
+    """
 
     def __init__(self) -> None:
         self._reports: dict[str, _Report] = {}
         self._busy: dict[int, int] = {}
 
     def record_answer(self, key: int, load: messages.Load) -> None:
-        """Take in a load that an answer told here.
+        """Record the load that a server reported in an answer to this entry.
 
-        Only a busy server's is passed on: others are expected to have room.
+        Only loads of busy servers are reported to others: other servers are
+        assumed to have free slots.
 
         Args:
-            key: The server's life, see `server_stats.incarnation_key`.
-            load: What the answer told.
+            key: The server's key, see `server_stats.incarnation_key`.
+            load: The load in the answer.
         """
         requests = load.running + load.waiting
         if requests >= load.slots:
@@ -48,40 +52,48 @@
 
     @property
     def has_busy(self) -> bool:
-        """Return whether there is something to tell."""
+        """Return whether there are loads of busy servers to report."""
         return bool(self._busy)
 
     def take_busy(self) -> tuple[tuple[int, int], ...]:
-        """Return the lives and requests of busy servers, each told once."""
-        found = tuple(self._busy.items())
+        """Return and clear the busy servers: incarnation keys and requests."""
+        loads = tuple(self._busy.items())
         self._busy.clear()
-        return found
+        return loads
 
     def record_report(
         self, server_id: str, requests: float, in_flight: int, now: float
     ) -> None:
-        """Take in another entry's report of a server.
+        """Record another entry's load report of a server.
 
-        `in_flight` is what this entry has under way there.
+        Args:
+            server_id: The server.
+            requests: Requests running and waiting at it.
+            in_flight: This entry's requests under way to it.
+            now: Monotonic time in seconds.
         """
         self._reports[server_id] = _Report(requests, now, in_flight)
 
     def estimated_requests(
-        self, server_id: str, since: float, in_flight: int, until: float
+        self, server_id: str, since: float, in_flight: int, not_before: float
     ) -> float:
-        """Return a server's requests by others' reports, 0 without one.
+        """Return a server's requests by other entries' reports.
 
         Args:
             server_id: The server.
-            since: When this entry itself was told last: an older report of
-                others says nothing.
-            in_flight: Requests that this entry has under way there.
-            until: Reports from before this time are too old.
+            since: Time of the last load report in an answer to this entry,
+                which supersedes older reports of others.
+            in_flight: This entry's requests under way to the server.
+            not_before: Time before which reports are too old.
+
+        Returns:
+            The reported requests plus those that this entry sent since; 0
+            without a valid report.
         """
-        held = self._reports.get(server_id, _NONE)
-        if held.at < max(since, until):
+        report = self._reports.get(server_id, _NONE)
+        if report.at < max(since, not_before):
             return 0.0
-        return held.requests + in_flight - held.in_flight_at_report
+        return report.requests + in_flight - report.in_flight_at_report
 
     def prune(self, server_ids: Collection[str]) -> None:
         """Drop the servers that are not in `server_ids`."""
@@ -90,17 +102,23 @@
 
 
 def neighbours(
-    me: str, names: Iterable[str], each_side: int
+    own_name: str, names: Iterable[str], each_side: int
 ) -> tuple[str, ...]:
-    """Return the names before and after `me`, in a ring of all by name.
+    """Return the entries before and after this one in a ring ordered by name.
+
+    The relation is symmetric: an entry sends its reports to the same entries
+    from which it receives reports. The number of messages of an entry does not
+    grow with the number of entries.
 
-    Whom one tells is told by them too, so that a few who share what they know
-    stay the same, and what an entry sends does not grow with their number.
+    Args:
+        own_name: Name of this entry.
+        names: Names of the entries of the failure domain.
+        each_side: Neighbours on each side.
     """
-    ring = sorted({me, *names})
-    at = ring.index(me)
-    found = {
-        ring[(at + step) % len(ring)]
+    ring = sorted({own_name, *names})
+    position = ring.index(own_name)
+    neighbour_names = {
+        ring[(position + step) % len(ring)]
         for step in range(-each_side, each_side + 1)
     }
-    return tuple(sorted(found - {me}))
+    return tuple(sorted(neighbour_names - {own_name}))
--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -1,10 +1,11 @@
-"""Which server an entry chooses by itself, without asking anyone.
-
-Consistent hashing with few servers an object: of those that rank first for it,
-and so have handled it lately, the one is taken that is expected to answer
-first, unless that would be too late to be of use. What this entry knows of a
-server's load is what the server told in its last answer, and what this entry
-itself has sent since.
+"""Local placement: an entry chooses servers without asking a grantor.
+
+Rendezvous hashing with a fixed number of servers per object: of the servers
+that rank first for an object, and so are likely to have it cached, the entry
+takes the one with the shortest expected time to answer. It refuses the request
+if that answer would come too late to be of use. The entry derives a server's
+load from the report in the server's last answer, from the requests that it has
+itself sent since, and from reports of other entries.
 """
 
 from collections.abc import Callable
@@ -27,31 +28,39 @@
 from hyssopfold.core.balancing import silence_reports
 from hyssopfold.core.membership import messages as membership
 
-# Servers that share an object; none else, whatever the load: on a server that
-# does not know the object the same request takes three times as long, so that
-# spreading out an overload makes it larger, until all servers are busy with
-# objects they don't know.
+# Servers that handle the requests for one object, whatever the load. On a
+# server that does not have the object cached the same request takes three times
+# as long: spreading an overload over more servers would make it larger, until
+# all servers are busy with objects that they don't have cached.
 SERVERS_PER_OBJECT = 2
-# Load, as a multiple of a server's slots, at which it is about to refuse.
+# Load, as a multiple of a server's slots, at which the server would soon refuse
+# requests.
 FULL_LOAD = 3.5
-# Expected time of an answer, as a multiple of the goal, up to which a request
-# is sent to a busy server, by its priority.
+# Greatest expected time to answer, as a multiple of the latency goal, at which
+# a request is still sent to a busy server; indexed by the request's priority.
 MAX_GOAL_RATIOS = (2.0, 1.5, 1.0)
-# How much likelier a server of the entry's own region ranks first than one
-# elsewhere. Most objects are asked for in one region; served there they spare
-# the way between regions. More would fill a region that has few servers for
-# its callers.
+# Weight in the ranking of a server in the entry's own region; one in another
+# region has weight 1. Most objects are requested in one region, and serving
+# them there saves the delay between regions. A greater weight would overload a
+# region that has few servers for its callers.
 HOME_REGION_WEIGHT = 5.0
-# When all are loaded, callers should come back once some requests are done.
+# When all servers are loaded, callers should retry after some of the requests
+# under way have ended.
 RETRY_AFTER_S = 0.15
 
 
 class View(NamedTuple):
-    """What an entry knows when it chooses: the pool, its servers, the time.
-
-    `servers` is the same object until one of them changes. `is_cold` tells
-    whether a server is to be taken for cold, `cold_rate` and `warm_up_s` are the
-    pool's, `entries` the names of those that serve callers.
+    """The state of a pool on which the choice of a server is based.
+
+    Attributes:
+        servers: The ready servers of the pool; the same object until one of
+            them changes.
+        is_cold: Returns whether a server, given by its id, is treated as cold.
+        cold_rate: Requests a second that a cold server of the pool bears; 0 if
+            cold servers need no protection.
+        warm_up_s: Seconds for which a server of the pool stays cold.
+        entries: Names of the entries that serve callers.
+        now: Monotonic time in seconds.
     """
 
     servers: Sequence[membership.Server]
@@ -63,7 +72,7 @@
 
 
 class _Pool(NamedTuple):
-    """A pool's servers, as they were made ready from `source`."""
+    """A pool's servers by id and their weights, derived from `source`."""
 
     source: Sequence[membership.Server]
     servers: Mapping[str, membership.Server]
@@ -72,11 +81,17 @@
 
 
 class _Choice(NamedTuple):
-    """A server, why it was taken, and its load as a multiple of its slots.
-
-    `expected_s` is the time until the answer, `wait_s` the part of it in the
-    server's queue; `ordered_s` is that time by older reports too, which decide
-    between servers but refuse nothing.
+    """A candidate server with its expected time to answer.
+
+    Attributes:
+        server: The server.
+        reason: Why it was chosen, for the log.
+        load: Its requests as a multiple of its slots.
+        expected_s: Seconds until the answer.
+        wait_s: The part of `expected_s` spent in the server's queue.
+        ranking_s: Like `expected_s`, but taking older load reports of other
+            entries into account; these may decide between servers, yet must
+            not cause a refusal.
     """
 
     server: membership.Server
@@ -84,11 +99,14 @@
     load: float
     expected_s: float = 0.0
     wait_s: float = 0.0
-    ordered_s: float = 0.0
+    ranking_s: float = 0.0
 
 
 class Chooser:
-    """Choose servers for the requests of one entry.
+    """Choose servers for the requests of one entry that uses local placement.
+
+    It holds all that the entry knows of the servers' load, and is updated with
+    each answer and each report of another entry.
 
     Args:
         name: Name of the entry.
@@ -108,20 +126,27 @@
     def choose(
         self, req: messages.Request, view: View
     ) -> messages.Grant | messages.Refused:
-        """Return the server for a request, counted as sent, or why none.
+        """Choose a server for a request and count the request as sent.
+
+        For a request with an object key only the servers that rank first are
+        examined, so that the cost does not grow with the pool.
+
+        Args:
+            req: The request.
+            view: The state of its pool.
 
-        For a request that names its object only the few servers that rank
-        first are looked at: the cost does not grow with the pool.
+        Returns:
+            The grant of a server, or why there is none.
         """
-        held = self._pool(req.pool, view)
+        pool = self._prepared_pool(req.pool, view)
         if req.object_key:
-            order = held.ranking.rank(req.object_key, held.weights)
-            found = self._by_object(req, order, held.servers, view)
+            order = pool.ranking.rank(req.object_key, pool.weights)
+            choice = self._by_object(req, order, pool.servers, view)
         else:
-            found = self._least_loaded(req, held.servers, view)
-        if isinstance(found, messages.Refused):
-            return found
-        server, load = found.server, found.load
+            choice = self._least_loaded(req, pool.servers, view)
+        if isinstance(choice, messages.Refused):
+            return choice
+        server, load = choice.server, choice.load
         stats = self._server_stats.record_sent(server, req.goal_s, view.now)
         is_cold = self._is_cold(stats, server.server_id, view)
         if is_cold:
@@ -129,34 +154,34 @@
         age_s = min(messages.NEVER_S, view.now - stats.reported_at)
         return messages.Grant(
             server,
-            found.reason,
+            choice.reason,
             known_load=load,
             load_age_s=age_s,
-            expected_s=found.expected_s,
+            expected_s=choice.expected_s,
             asked=req,
             is_cold=is_cold,
         )
 
-    def _pool(self, name: str, view: View) -> "_Pool":
-        """Return a pool's servers by id and weight, made once a change."""
+    def _prepared_pool(self, name: str, view: View) -> "_Pool":
+        """Return a pool's servers and weights, rebuilt after changes."""
         servers = view.servers
-        held = self._pools.get(name)
-        if held is not None and held.source is servers:
-            return held
+        pool = self._pools.get(name)
+        if pool is not None and pool.source is servers:
+            return pool
         weights: Mapping[str, float] = {
             server.server_id: server.slots
             * (HOME_REGION_WEIGHT if server.region == self._region else 1.0)
             for server in servers
         }
-        ranking = held.ranking if held is not None else affinity.Ranking()
-        if held is not None and held.weights == weights:
-            weights = held.weights
+        ranking = pool.ranking if pool is not None else affinity.Ranking()
+        if pool is not None and pool.weights == weights:
+            weights = pool.weights
         by_id = {server.server_id: server for server in servers}
         for server_id in filter(view.is_cold, by_id):
             self._allowance.record_cold(server_id, view.now)
-        held = _Pool(servers, by_id, weights, ranking)
-        self._pools[name] = held
-        return held
+        pool = _Pool(servers, by_id, weights, ranking)
+        self._pools[name] = pool
+        return pool
 
     def _by_object(
         self,
@@ -165,18 +190,18 @@
         servers: Mapping[str, membership.Server],
         view: View,
     ) -> "_Choice | messages.Refused":
-        """Return who answers soonest of those that share the object."""
+        """Return the candidate with the shortest expected time to answer."""
         usable = self._usable(req, order, servers, view)
-        sharing = tuple(itertools.islice(usable, SERVERS_PER_OBJECT))
-        if not sharing:
+        candidates = tuple(itertools.islice(usable, SERVERS_PER_OBJECT))
+        if not candidates:
             return messages.Refused(
-                _why_none(req, servers.values()), RETRY_AFTER_S
+                _refusal_reason(req, servers.values()), RETRY_AFTER_S
             )
-        choices = self._by_time(req, sharing, view.now)
+        choices = self._by_expected_time(req, candidates, view.now)
         for choice in choices:
             if _has_room(req, choice):
                 return choice
-        # By then what waits at the best of them now is done.
+        # By then the queue of the best candidate will have been served.
         wait_s = max(RETRY_AFTER_S, choices[0].wait_s)
         return messages.Refused("no-slot", wait_s)
 
@@ -187,40 +212,43 @@
         servers: Mapping[str, membership.Server],
         view: View,
     ) -> Iterator[membership.Server]:
-        """Yield the servers that may serve a request and take requests."""
+        """Yield the servers that may serve a request and accept requests."""
         closed = _closed_domains(req)
-        for name in order:
-            server = servers[name]
-            if _may_serve(server, req, closed) and self._is_open(server, view):
+        for server_id in order:
+            server = servers[server_id]
+            if _may_serve(server, req, closed) and self._is_available(
+                server, view
+            ):
                 yield server
 
-    def _by_time(
+    def _by_expected_time(
         self,
         req: messages.Request,
-        found: Sequence[membership.Server],
+        candidates: Sequence[membership.Server],
         now: float,
     ) -> "list[_Choice]":
-        """Return the servers, the one expected to answer first at the front.
+        """Return the candidates, the first one expected to answer first.
 
-        The one that ranks first is taken for one that knows the object: other
-        entries may have sent it there, and if not it is to learn it. Held to
-        where it was answered last, an object would stay at as many servers as
-        there are entries, and these would forget others for it.
+        The server that ranks first is assumed to have the object cached: other
+        entries may have sent requests for it there, and otherwise it shall load
+        it. If an object stayed at the servers that answered for it last, it
+        would be cached at as many servers as there are entries, and evict other
+        objects there.
         """
-        known = [
+        cached = [
             self._locations.is_cached(
-                req.object_key, (one.server_id, one.incarnation), now
+                req.object_key, (server.server_id, server.incarnation), now
             )
-            for one in found
+            for server in candidates
         ]
-        known[0] = True
+        cached[0] = True
         choices = [
-            self._expected(req, one, is_cached, now)
-            for one, is_cached in zip(found, known, strict=True)
+            self._estimate_choice(req, server, is_cached, now)
+            for server, is_cached in zip(candidates, cached, strict=True)
         ]
-        return sorted(choices, key=lambda one: one.ordered_s)
+        return sorted(choices, key=lambda choice: choice.ranking_s)
 
-    def _expected(
+    def _estimate_choice(
         self,
         req: messages.Request,
         server: membership.Server,
@@ -231,10 +259,10 @@
         kind = estimates.RequestKind(req.route, server.region)
         run_s = self._estimates.run_s(kind, req.goal_s, is_cached)
         wait_s = self._wait_s(req, server, load)
-        told = self._load(server, now, load_reports.CHOICE_MAX_AGE_S)
-        ordered_s = run_s + self._wait_s(req, server, told)
+        ranking_load = self._load(server, now, load_reports.CHOICE_MAX_AGE_S)
+        ranking_s = run_s + self._wait_s(req, server, ranking_load)
         reason = "affinity" if wait_s == 0 else "affinity-wait"
-        return _Choice(server, reason, load, run_s + wait_s, wait_s, ordered_s)
+        return _Choice(server, reason, load, run_s + wait_s, wait_s, ranking_s)
 
     def _wait_s(
         self, req: messages.Request, server: membership.Server, load: float
@@ -250,25 +278,29 @@
         view: View,
     ) -> "_Choice | messages.Refused":
         closed = _closed_domains(req)
-        usable = [
+        allowed = [
             server
             for server in servers.values()
             if _may_serve(server, req, closed)
         ]
-        if not usable:
+        if not allowed:
             return messages.Refused("no-server", RETRY_AFTER_S)
         loads = [
             (self._load(server, view.now), server.server_id)
-            for server in usable
-            if self._is_open(server, view)
+            for server in allowed
+            if self._is_available(server, view)
         ]
-        least, name = min(loads, default=(math.inf, ""))
-        if least >= FULL_LOAD:
+        load, server_id = min(loads, default=(math.inf, ""))
+        if load >= FULL_LOAD:
             return messages.Refused("no-slot", RETRY_AFTER_S)
-        return _Choice(servers[name], "least-loaded", least)
+        return _Choice(servers[server_id], "least-loaded", load)
+
+    def _is_available(self, server: membership.Server, view: View) -> bool:
+        """Return whether requests may be sent to a server now.
 
-    def _is_open(self, server: membership.Server, view: View) -> bool:
-        """Return whether a server takes requests as far as is known here."""
+        Not to an ejected or silent server, nor to a cold one beyond this
+        entry's allowance.
+        """
         server_id = server.server_id
         stats = self._server_stats.current(server, view.now)
         if stats.ejected_until > view.now:
@@ -294,32 +326,45 @@
         self,
         server: membership.Server,
         now: float,
-        told_s: float = load_reports.REFUSAL_MAX_AGE_S,
+        max_age_s: float = load_reports.REFUSAL_MAX_AGE_S,
     ) -> float:
         """Return a server's requests as a multiple of its slots.
 
         Args:
             server: The server.
-            now: The time.
-            told_s: How old another entry's report may be.
+            now: Monotonic time in seconds.
+            max_age_s: Greatest age in seconds of another entry's report.
         """
         stats = self._server_stats.current(server, now)
-        told = self._load_reports.estimated_requests(
-            server.server_id, stats.reported_at, stats.in_flight, now - told_s
+        reported = self._load_reports.estimated_requests(
+            server.server_id,
+            stats.reported_at,
+            stats.in_flight,
+            now - max_age_s,
+        )
+        return max(stats.estimated_requests(now), reported) / max(
+            1, server.slots
         )
-        return max(stats.estimated_requests(now), told) / max(1, server.slots)
 
     def learn(
         self, grant: messages.Grant, done: messages.Done, now: float
     ) -> None:
-        """Take in what a grant's answer tells of run times and objects."""
+        """Update run times and object locations from a grant's answer.
+
+        Args:
+            grant: The grant of this entry.
+            done: How its request ended.
+            now: Monotonic time in seconds.
+        """
         req, server = grant.asked, grant.server
         if req is None or done.kind != "answered" or not done.good:
             return
-        life = (server.server_id, server.incarnation)
+        incarnation = (server.server_id, server.incarnation)
         if req.object_key:
-            was_cached = self._locations.is_cached(req.object_key, life, now)
-            self._locations.record(req.object_key, life, now)
+            was_cached = self._locations.is_cached(
+                req.object_key, incarnation, now
+            )
+            self._locations.record(req.object_key, incarnation, now)
         else:
             was_cached = True
         had_queue = done.load is not None and done.load.waiting > 0
@@ -333,62 +378,80 @@
     def record_done(
         self, server_id: str, done: messages.Done, warm_up_s: float, now: float
     ) -> None:
-        """Take in how a request ended."""
+        """Record how a request ended.
+
+        Args:
+            server_id: The server that it was sent to.
+            done: How it ended.
+            warm_up_s: Seconds for which a server of the pool stays cold.
+            now: Monotonic time in seconds.
+        """
         self._server_stats.record_done(server_id, done, warm_up_s, now)
         key = self._server_stats.key_of(server_id)
         if done.load is not None and key is not None:
             self._load_reports.record_answer(key, done.load)
 
     def silent_keys(self, now: float) -> tuple[int, ...]:
-        """Return the lives of servers at which requests wait in vain.
+        """Return the incarnation keys of silent servers, to be sent to others.
 
-        Each of many entries sends a server few requests, and would else learn
-        by its own losses that none is answered.
+        Each of many entries sends a server few requests; without the reports
+        each of them would lose requests before it finds the server silent.
         """
         return self._server_stats.silent_keys(now)
 
     def record_silent(
         self, sender: str, keys: Iterable[int], now: float
     ) -> tuple[str, ...]:
-        """Take in at which servers another entry waits in vain just now.
+        """Record which servers another entry reports as silent.
+
+        Args:
+            sender: Name of the other entry.
+            keys: Incarnation keys of the servers.
+            now: Monotonic time in seconds.
 
         Returns:
-            Servers that get nothing more, by this and others' word.
+            Ids of the servers that get no more requests since this report and
+            those of other entries confirm each other.
         """
-        known = (self._server_stats.server_id_of(key) for key in keys)
+        server_ids = (self._server_stats.server_id_of(key) for key in keys)
         return tuple(
             server_id
-            for server_id in known
+            for server_id in server_ids
             if server_id is not None
             and self._silence_reports.record(server_id, sender, now)
         )
 
     @property
     def has_busy(self) -> bool:
-        """Return whether there are busy servers to tell others of."""
+        """Return whether there are busy servers to report to other entries."""
         return self._load_reports.has_busy
 
     def take_busy(self) -> tuple[tuple[int, int], ...]:
-        """Return the lives of busy servers and their requests, once."""
+        """Return and clear the busy servers: incarnation keys and requests."""
         return self._load_reports.take_busy()
 
     def record_loads(
         self, loads: Iterable[tuple[int, int]], now: float
     ) -> None:
-        """Take in which servers another entry found busy just now."""
+        """Record the loads of busy servers that another entry reports.
+
+        Args:
+            loads: Incarnation keys of the servers, and their requests.
+            now: Monotonic time in seconds.
+        """
         in_flight = self._server_stats.in_flight()
         for key, requests in loads:
             server_id = self._server_stats.server_id_of(key)
             if server_id is not None:
-                mine = in_flight.get(server_id, 0)
-                self._load_reports.record_report(server_id, requests, mine, now)
+                own = in_flight.get(server_id, 0)
+                self._load_reports.record_report(server_id, requests, own, now)
 
     def in_flight(self) -> dict[str, int]:
         """Return the requests under way by server."""
         return self._server_stats.in_flight()
 
     def prune(self, server_ids: Collection[str]) -> None:
-        """Drop the servers that are gone and have nothing under way."""
+        """Drop servers not in `server_ids` that have no requests under way."""
         self._allowance.prune(server_ids)
         self._locations.prune(server_ids)
         self._load_reports.prune(server_ids)
@@ -396,31 +459,31 @@
 
 
 def _closed_domains(req: messages.Request) -> dict[str, set[str]]:
-    """Return the regions that may serve a request, with what is closed there."""
-    return {one.name: set(one.closed_domains) for one in req.regions}
+    """Return the closed failure domains of each region that may serve."""
+    return {region.name: set(region.closed_domains) for region in req.regions}
 
 
 def _has_room(req: messages.Request, choice: _Choice) -> bool:
-    """Return whether a busy server is to take a request.
+    """Return whether a server may get a request, given its load.
 
-    One whose answer would come too late to be of much use makes all behind it
-    late too; it finds room only where nothing waits.
+    A request whose answer would come too late to be of much use delays all
+    requests queued behind it. It is sent only to a server without a queue.
     """
     if choice.load >= FULL_LOAD:
         return False
     max_ratio = MAX_GOAL_RATIOS[min(req.priority, len(MAX_GOAL_RATIOS) - 1)]
-    in_all_s = req.waited_s + choice.expected_s
+    total_s = req.waited_s + choice.expected_s
     goal_s = req.goal_s or server_stats.DEFAULT_GOAL_S
-    return choice.load < 1 or in_all_s <= max_ratio * goal_s
+    return choice.load < 1 or total_s <= max_ratio * goal_s
 
 
-def _why_none(
+def _refusal_reason(
     req: messages.Request, servers: Iterable[membership.Server]
 ) -> str:
-    """Return why no server takes a request: none may serve it, or all rest."""
+    """Return "no-slot" if some server may serve a request, else "no-server"."""
     closed = _closed_domains(req)
-    may = any(_may_serve(server, req, closed) for server in servers)
-    return "no-slot" if may else "no-server"
+    is_allowed = any(_may_serve(server, req, closed) for server in servers)
+    return "no-slot" if is_allowed else "no-server"
 
 
 def _may_serve(
--- a/hyssopfold/core/balancing/object_locations.py
+++ b/hyssopfold/core/balancing/object_locations.py
@@ -1,26 +1,30 @@
-"""Which servers answered for which objects lately, as far as seen here.
+"""Which servers are likely to have an object cached.
 
-A server that handled an object lately takes a third of the time for it. Where
-servers come, go and return, the order of ranking says where an object belongs,
-not where it is known.
+A server that handled an object lately takes a third of the time for it. When
+servers join, leave and return, the ranking tells which servers shall handle an
+object, but not which ones have it cached. This module derives that from the
+answers that this entry received.
 """
 
 from collections.abc import Collection
 
-# A server remembers some dozens of objects; one not asked for in this time has
-# likely made room for others.
+# A server caches some dozens of objects; an object that was not requested in
+# this time has likely been evicted.
 CACHE_RETENTION_S = 30.0
-# Objects that are kept track of; the longest unused are dropped.
+# Greatest number of tracked objects; the least recently used are dropped.
 MAX_OBJECTS = 20_000
-# Servers kept of one object, those that answered last.
+# Servers tracked for each object: those that answered last.
 MAX_SERVERS = 3
 
-# A life of a server: its id and incarnation. It forgets all when it restarts.
+# Server id and incarnation: a server that restarts has lost its cache.
 ServerIncarnation = tuple[str, int]
 
 
 class ObjectLocations:
-    """Keep who answered for which object."""
+    """The times at which servers answered for objects.
+
+    Used by `local.Chooser` to estimate run times.
+    """
 
     def __init__(self) -> None:
         self._answered: dict[str, dict[ServerIncarnation, float]] = {}
@@ -28,38 +32,38 @@
     def record(
         self, key: str, incarnation: ServerIncarnation, now: float
     ) -> None:
-        """Take in that a server answered for an object."""
-        held = self._answered.pop(key, None)
-        if held is None:
-            held = {}
+        """Record that a server answered for an object."""
+        answered_at = self._answered.pop(key, None)
+        if answered_at is None:
+            answered_at = {}
             if len(self._answered) >= MAX_OBJECTS:
                 del self._answered[next(iter(self._answered))]
-        held.pop(incarnation, None)
-        held[incarnation] = now
-        if len(held) > MAX_SERVERS:
-            del held[next(iter(held))]
-        self._answered[key] = held
+        answered_at.pop(incarnation, None)
+        answered_at[incarnation] = now
+        if len(answered_at) > MAX_SERVERS:
+            del answered_at[next(iter(answered_at))]
+        self._answered[key] = answered_at
 
     def is_cached(
         self, key: str, incarnation: ServerIncarnation, now: float
     ) -> bool:
-        """Return whether a server answered for an object lately."""
-        held = self._answered.get(key)
+        """Return whether a server is likely to have an object cached."""
+        answered_at = self._answered.get(key)
         return (
-            held is not None
-            and now - held.get(incarnation, -CACHE_RETENTION_S)
+            answered_at is not None
+            and now - answered_at.get(incarnation, -CACHE_RETENTION_S)
             < CACHE_RETENTION_S
         )
 
     def prune(self, server_ids: Collection[str]) -> None:
         """Drop the servers that are not in `server_ids`."""
-        for key, held in list(self._answered.items()):
-            kept = {
+        for key, answered_at in list(self._answered.items()):
+            remaining = {
                 incarnation: at
-                for incarnation, at in held.items()
+                for incarnation, at in answered_at.items()
                 if incarnation[0] in server_ids
             }
-            if kept:
-                self._answered[key] = kept
+            if remaining:
+                self._answered[key] = remaining
             else:
                 del self._answered[key]
--- a/hyssopfold/core/balancing/reopened.py
+++ b/hyssopfold/core/balancing/reopened.py
@@ -1,4 +1,4 @@
-"""Failure domains that get work again after an evacuation."""
+"""Failure domains that were reopened after an evacuation."""
 
 from collections.abc import Collection
 
@@ -6,13 +6,14 @@
 
 
 class ReopenedDomains:
-    """Take the servers of a domain that gets work again for cold.
+    """Treat the servers of a reopened failure domain as cold.
 
-    They had none for a while, so they may have become cold, and a server's own
-    word of that can be late or lost.
+    They got no requests during the evacuation, so they may have become cold,
+    and a server's announcement of that can be late or lost. Used by the local
+    placement of each entry.
 
     Args:
-        known: What the servers say of themselves.
+        server_directory: The servers' announcements.
     """
 
     def __init__(self, server_directory: directory.Directory) -> None:
@@ -21,10 +22,14 @@
         self._reopened_at: dict[str, float] = {}
 
     def update(self, evacuated: Collection[str], now: float) -> tuple[str, ...]:
-        """Take in which domains are evacuated now.
+        """Update the set of evacuated failure domains.
+
+        Args:
+            evacuated: The domains that are evacuated now.
+            now: Monotonic time in seconds.
 
         Returns:
-            The domains that get work again from now on, sorted.
+            The domains that are reopened by this update, sorted.
         """
         evacuated_now = frozenset(evacuated)
         if evacuated_now == self._evacuated:
@@ -35,7 +40,7 @@
         return reopened_now
 
     def is_cold(self, server_id: str, warm_up_s: float, now: float) -> bool:
-        """Return whether a server is to be taken for cold.
+        """Return whether a server is to be treated as cold.
 
         Args:
             server_id: The server.
--- a/hyssopfold/core/balancing/server_stats.py
+++ b/hyssopfold/core/balancing/server_stats.py
@@ -1,4 +1,4 @@
-"""What an entry has stats of each backend server by its own requests."""
+"""Statistics of an entry's own requests to each backend server."""
 
 from collections.abc import Collection
 import math
@@ -8,32 +8,47 @@
 from hyssopfold.core.balancing import messages
 from hyssopfold.core.membership import messages as membership
 
-# A report of load is worth nothing once what ran then is done.
+# A load report is ignored after this time: the requests that it counted have
+# ended by then.
 REPORT_MAX_AGE_S = 2.0
-# Failures to connect, or failed answers in a row, after which a server gets
-# nothing for a while; doubled each time, up to the most.
+# A server is ejected after one failure to connect, or after this number of
+# failed answers in a row. The duration of the ejection doubles each time, up to
+# MAX_EJECTION_S.
 EJECT_AFTER_FAILURES = 3
 FIRST_EJECTION_S = 1.0
 MAX_EJECTION_S = 8.0
-# A server is silent when requests wait at it and no answer came for so many
-# times the latency goal: dead without a sign, or slow beyond use. It gets
-# nothing until it answers, or none of them waits any more.
+# A server is silent when requests are under way to it and no answer came for
+# this multiple of the latency goal: it died without closing its connections, or
+# it is too slow to be of use. It gets no requests until it answers, or until
+# none is under way any more.
 SILENT_AFTER_GOALS = 2.0
+# Latency goal of routes without one in their row of the table.
 DEFAULT_GOAL_S = 0.5
-# One whose address belongs to another server now: its lease ends by then.
+# Ejection of a server whose address belongs to another server now; its lease
+# ends within this time.
 ADDRESS_TAKEN_EJECTION_S = 4.0
-# A server that refused for want of room gets nothing for so long: about the
-# time in which one of its requests ends.
+# Ejection of a server that refused a request since its queue was full: about
+# the time in which one of its requests ends.
 SHED_EJECTION_S = 0.1
 
 
 class ServerStats(NamedTuple):
-    """What is known of one life of a server beside its announcement.
-
-    `reported` is the load that it told last, `in_flight_at_report` this entry's
-    requests under way at that time; `waiting_since` is the time of its last
-    answer, or of the request that waits longest; `rests` counts the rests in a
-    row.
+    """Statistics of one server incarnation, from this entry's requests to it.
+
+    Attributes:
+        incarnation: The incarnation of the server.
+        in_flight: This entry's requests under way.
+        reported_requests: Requests running and waiting at the server, by its
+            last load report.
+        reported_at: Time of that report.
+        in_flight_at_report: This entry's requests under way at that time.
+        waiting_since: Time of the last answer, or of the oldest request under
+            way if that is later.
+        goal_s: Latency goal of the last request in seconds.
+        failures: Failed answers in a row.
+        ejections: Ejections in a row; reduced by one with each good answer.
+        ejected_until: Time at which the ejection ends.
+        cold_until: Time until which the server is treated as cold.
     """
 
     incarnation: int
@@ -49,37 +64,47 @@
     cold_until: float = -math.inf
 
     def estimated_requests(self, now: float) -> float:
-        """Return the requests that the server has, as far as is stats here."""
-        known = float(self.in_flight)
+        """Return the estimated number of requests at the server.
+
+        That is its last report plus the requests that were sent since, but no
+        fewer than this entry's own requests under way.
+        """
+        own = float(self.in_flight)
         if now - self.reported_at > REPORT_MAX_AGE_S:
-            return known
-        since = self.in_flight - self.in_flight_at_report
-        return max(known, self.reported_requests + since)
+            return own
+        sent_since = self.in_flight - self.in_flight_at_report
+        return max(own, self.reported_requests + sent_since)
 
     def is_silent(self, now: float) -> bool:
-        """Return whether requests wait at a server that answers none."""
-        waits_s = now - self.waiting_since
-        return self.in_flight > 0 and waits_s > self.goal_s * SILENT_AFTER_GOALS
+        """Return whether the server answers none of its pending requests."""
+        waited_s = now - self.waiting_since
+        return (
+            self.in_flight > 0 and waited_s > self.goal_s * SILENT_AFTER_GOALS
+        )
 
 
 class ServerStatsTable:
-    """Keep what is stats of each server, for the newest life of it."""
+    """The statistics of each server, of its newest incarnation."""
 
     def __init__(self) -> None:
         self._stats: dict[str, ServerStats] = {}
         self._by_key: dict[int, str] = {}
 
     def current(self, server: membership.Server, now: float) -> ServerStats:
-        """Return what is stats of a server; of a new life, next to nothing."""
+        """Return the statistics of a server, reset for a new incarnation.
+
+        Only the requests under way are carried over to a new incarnation.
+        """
         stats = self._stats.get(server.server_id)
         if stats is not None and stats.incarnation >= server.incarnation:
             return stats
         in_flight = 0
         if stats is not None:
-            # What is said of its former life, still on its way, counts no more.
+            # Reports on the former incarnation that arrive from now on are
+            # ignored: its key is no longer known.
             in_flight = stats.in_flight
-            former = incarnation_key(server.server_id, stats.incarnation)
-            self._by_key.pop(former, None)
+            former_key = incarnation_key(server.server_id, stats.incarnation)
+            self._by_key.pop(former_key, None)
         key = incarnation_key(server.server_id, server.incarnation)
         self._by_key[key] = server.server_id
         stats = self._stats[server.server_id] = ServerStats(
@@ -90,7 +115,11 @@
     def record_sent(
         self, server: membership.Server, goal_s: float, now: float
     ) -> ServerStats:
-        """Count a request sent to a server; return what was stats before."""
+        """Count a request sent to a server.
+
+        Returns:
+            The statistics before the request.
+        """
         stats = self.current(server, now)
         self._stats[server.server_id] = stats._replace(
             in_flight=stats.in_flight + 1,
@@ -102,7 +131,14 @@
     def record_done(
         self, server_id: str, done: messages.Done, warm_up_s: float, now: float
     ) -> None:
-        """Take in how a request ended."""
+        """Record how a request ended.
+
+        Args:
+            server_id: The server that it was sent to.
+            done: How it ended.
+            warm_up_s: Seconds for which a restarted server stays cold.
+            now: Monotonic time in seconds.
+        """
         stats = self._stats.get(server_id)
         if stats is None:
             return
@@ -116,20 +152,20 @@
                 in_flight_at_report=stats.in_flight,
             )
         if done.kind != "cancelled":
-            stats = _judged(stats, done, warm_up_s, now)
+            stats = _update_health(stats, done, warm_up_s, now)
         self._stats[server_id] = stats
 
     def key_of(self, server_id: str) -> int | None:
-        """Return what stands for a server's life, if it was met."""
+        """Return the key of a server's incarnation, None if it is unknown."""
         stats = self._stats.get(server_id)
         return incarnation_key(server_id, stats.incarnation) if stats else None
 
     def server_id_of(self, key: int) -> str | None:
-        """Return the server whose newest life `key` stands for."""
+        """Return the server whose newest incarnation has `key`."""
         return self._by_key.get(key)
 
     def silent_keys(self, now: float) -> tuple[int, ...]:
-        """Return the lives of servers at which requests wait in vain."""
+        """Return the incarnation keys of the silent servers."""
         return tuple(
             incarnation_key(server_id, stats.incarnation)
             for server_id, stats in self._stats.items()
@@ -145,10 +181,10 @@
         }
 
     def prune(self, server_ids: Collection[str]) -> Collection[str]:
-        """Drop the servers that are not in `server_ids` and have nothing under way.
+        """Drop servers not in `server_ids` that have no requests under way.
 
         Returns:
-            Those that are kept.
+            The ids of the remaining servers.
         """
         for server_id in self._stats.keys() - set(server_ids):
             if not self._stats[server_id].in_flight:
@@ -161,11 +197,11 @@
 
 
 def incarnation_key(server_id: str, incarnation: int) -> int:
-    """Return what stands for one life of a server between entries."""
+    """Return the number that identifies a server incarnation in messages."""
     return zlib.crc32(f"{server_id} {incarnation}".encode())
 
 
-def _judged(
+def _update_health(
     stats: ServerStats, done: messages.Done, warm_up_s: float, now: float
 ) -> ServerStats:
     if done.elsewhere:
@@ -179,8 +215,8 @@
         return stats._replace(failures=failures)
     ejection_s = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2.0**stats.ejections)
     until = now + ejection_s
-    # One that takes no connection has ended; it comes back cold, and its own
-    # word of that may come later than its first request.
+    # A server that refuses connections has terminated. It will be cold when it
+    # restarts, and its announcement of that may arrive after its first request.
     cold_until = until + warm_up_s if not done.reached else stats.cold_until
     return stats._replace(
         failures=0,
--- a/hyssopfold/core/balancing/silence_reports.py
+++ b/hyssopfold/core/balancing/silence_reports.py
@@ -1,35 +1,49 @@
-"""Which servers other entries say are silent, and when that is believed."""
+"""Reports of other entries that a server is silent."""
 
 from collections.abc import Collection
 
-# Others' word that a server is silent counts for so long, and only when so many
-# say it: a single one may be cut off from the server.
+# Seconds for which a report counts, and the number of entries whose reports are
+# needed before a server gets no more requests: a single entry may be cut off
+# from a server that all others reach.
 REPORT_VALID_S = 1.0
 MIN_REPORTERS = 2
 
 
 class SilenceReports:
-    """Keep who waits in vain at which server."""
+    """Record which entries report which servers as silent.
+
+    Used by `local.Chooser` for the reports of other entries.
+    """
 
     def __init__(self) -> None:
-        # Until when each entry's word counts, by server.
+        # Time until which each entry's report counts, by server.
         self._until: dict[str, dict[str, float]] = {}
 
     def record(self, server_id: str, sender: str, now: float) -> bool:
-        """Take in that `sender` waits in vain; return whether that decides."""
-        before = self.is_confirmed(server_id, now)
+        """Record the report of an entry that a server is silent.
+
+        Args:
+            server_id: The server.
+            sender: Name of the reporting entry.
+            now: Monotonic time in seconds.
+
+        Returns:
+            Whether the server is confirmed as silent by this report, and was
+            not before.
+        """
+        was_confirmed = self.is_confirmed(server_id, now)
         self._until.setdefault(server_id, {})[sender] = now + REPORT_VALID_S
-        return not before and self.is_confirmed(server_id, now)
+        return not was_confirmed and self.is_confirmed(server_id, now)
 
     def is_confirmed(self, server_id: str, now: float) -> bool:
-        """Return whether enough entries say lately that a server is silent."""
-        held = self._until.get(server_id)
-        if not held:
+        """Return whether enough entries lately reported a server as silent."""
+        reports = self._until.get(server_id)
+        if not reports:
             return False
-        lately = sum(until > now for until in held.values())
-        if not lately:
+        recent = sum(until > now for until in reports.values())
+        if not recent:
             del self._until[server_id]
-        return lately >= MIN_REPORTERS
+        return recent >= MIN_REPORTERS
 
     def prune(self, server_ids: Collection[str]) -> None:
         """Drop the servers that are not in `server_ids`."""
