--- a/hyssopfold/core/admission/__init__.py
+++ b/hyssopfold/core/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Whether a request is let in now, queued or refused."""
+"""Admission of requests: accept, queue or refuse."""
--- a/hyssopfold/core/attempts/attempt.py
+++ b/hyssopfold/core/attempts/attempt.py
@@ -1,4 +1,4 @@
-"""One request's attempts as a state machine: send, retry, relay or refuse."""
+"""State machine of one request's attempts: send, retry, relay or refuse."""
 
 import enum
 import functools
@@ -7,15 +7,17 @@
 from hyssopfold.core.attempts import budget as budget_module
 from hyssopfold.core.attempts import messages
 
-# Answers by which a server says that it failed, not that the request is bad.
+# Statuses that mean a failure of the server rather than of the request.
 _SERVER_FAILURES = (500, 502, 503)
-# Callers that may come back do so at once: what failed here has most of its
-# time left, and another server or entry may take it.
+# Callers should retry soon: a request that failed here has most of its time
+# left, and another server or entry may serve it.
 RETRY_AFTER_S = 0.1
-# Tries beyond the operator's number, at servers that never saw the request.
+# Attempts beyond the configured number, for servers that never received the
+# request.
 EXTRA_ATTEMPTS = 2
-# On a connection that has been used before, silence may be the connection's
-# own: a first attempt there leaves this share of the time for another one.
+# A connection that was used before may be dead although no reset arrived. A
+# first attempt on it uses this share of the time and leaves the rest for
+# another one.
 REUSED_CONNECTION_SHARE = 0.5
 
 _SENT = messages.Sent
@@ -23,7 +25,7 @@
 
 
 class Phase(enum.Enum):
-    """Where the request stands."""
+    """State of a request."""
 
     NEW = "new"
     ACQUIRING = "acquiring"
@@ -33,20 +35,30 @@
 
 
 class InvariantError(AssertionError):
-    """The machine was about to break a promise, or was fed out of order."""
+    """The machine would violate a guarantee, or got an event out of order."""
 
 
 class Attempts:
-    """Decide what happens to one request.
+    """State machine of the attempts of one request.
 
-    Each event goes through `handle`, which returns the effects to carry out
-    in order. The machine asserts its own promises: a request that may not be
-    repeated is sent again only if every attempt before is certain not to have
-    run, and `not-run` is said only if that holds for all of them.
+    The carrier of an entry passes each event to `handle` and executes the
+    returned effects in order. The machine asserts its guarantees: a request
+    that is not repeatable is sent again only if it is certain that no earlier
+    attempt ran, and the outcome `not-run` is reported only if that holds for
+    all attempts.
 
     Args:
         request: The request.
-        budget: Retries that the entry may still make.
+        budget: The retry budget of the entry.
+
+    Attributes:
+        request: The request.
+        phase: The state of the request.
+        tried: Ids of the servers that were granted, in order.
+        maybe_ran: Whether an earlier attempt may have run.
+        last_sent: How far the last attempt got.
+        last_reason: Why the last attempt failed, empty at first.
+        counted_attempts: Attempts that count towards the configured number.
     """
 
     def __init__(
@@ -62,27 +74,39 @@
         self.last_sent = _SENT.NOT_SENT
         self._deadline = math.inf
         self.last_reason = ""
-        # Servers that may have seen the request, as far as an operator counts:
-        # not those that took no connection, nor others at their address.
+        # Excludes servers that accepted no connection, and other servers that
+        # answered at the address of the granted one.
         self.counted_attempts = 0
-        # A retry was taken from the budget already.
+        # Whether a retry has already been taken from the budget.
         self._has_retry = False
 
     @property
     def outcome(self) -> messages.Outcome:
-        """Return what is certain if no whole answer comes."""
+        """Return the outcome if no complete answer arrives."""
         if self.maybe_ran or self.last_sent is _SENT.MAYBE_SENT:
             return messages.Outcome.UNKNOWN
         return messages.Outcome.NOT_RUN
 
     def handle(self, event: messages.Event, now: float) -> Effects:
-        """Take `event` in at `now` seconds; return what to do."""
+        """Handle an event and return the effects to execute.
+
+        Args:
+            event: The event.
+            now: Monotonic time in seconds.
+
+        Returns:
+            The effects in the order in which to execute them.
+
+        Raises:
+            InvariantError: when the event is out of order, or the machine
+                would violate one of its guarantees.
+        """
         if self.phase is Phase.DONE:
-            raise InvariantError(f"{event} after the end")
+            raise InvariantError(f"{event} after the request has ended")
         return _on(event, self, now)
 
     def expect(self, *phases: Phase) -> None:
-        """Check that an event comes in a phase that allows it.
+        """Check that the current phase allows an event.
 
         Raises:
             InvariantError: when it does not.
@@ -91,7 +115,7 @@
             raise InvariantError(f"event out of order in {self.phase}")
 
     def start(self, now: float) -> Effects:
-        """Begin: ask for a slot."""
+        """Start the request by acquiring a slot."""
         self.expect(Phase.NEW)
         self._budget.earn(now)
         self._deadline = now + self.request.limit_s
@@ -99,36 +123,36 @@
         return (messages.Acquire((), self._deadline),)
 
     def granted(self, server_id: str, now: float) -> Effects:
-        """Send the request to the server that was granted."""
+        """Send the request to the granted server."""
         self.expect(Phase.ACQUIRING)
         if server_id in self.tried:
-            raise InvariantError(f"server {server_id} is tried twice")
+            raise InvariantError(f"server {server_id} was granted twice")
         if self.maybe_ran and not self.request.repeatable:
-            raise InvariantError("sent again though it may have run")
+            raise InvariantError("request would be sent again but may have run")
         self.phase = Phase.SENDING
         self.tried += (server_id,)
         self.last_sent = _SENT.NOT_SENT
         number = len(self.tried)
-        # A pooled connection may have been closed at the other end just now.
-        # That shows as a reset after the request was written, and what may
-        # not be repeated, or can't since its body is not kept, would be lost
-        # with `unknown`. A new connection was alive a round trip ago.
-        repeat = self.request.repeatable and not self.request.has_body
-        fresh = not repeat or number > 1
+        # The server may just have closed a pooled connection, which shows as a
+        # reset after the request was written. A request that is not repeatable,
+        # or can't be repeated since its body is not kept, would then end as
+        # `unknown`. A new connection was alive a round trip ago.
+        can_repeat = self.request.repeatable and not self.request.has_body
+        fresh = not can_repeat or number > 1
         deadline = self._deadline
         if not fresh and self.request.expects_silence:
             deadline = now + (deadline - now) * REUSED_CONNECTION_SHARE
         return (messages.Send(number, fresh, deadline),)
 
     def no_slot(self, event: messages.NoSlot) -> Effects:
-        """Refuse, telling what is certain of the attempts before."""
+        """Refuse the request with the outcome of the earlier attempts."""
         self.expect(Phase.ACQUIRING)
         reason = self.last_reason or event.reason
         error = event.reason if not self.maybe_ran else "attempt-failed"
         return self._refuse(error, reason, event.retry_after_s)
 
     def bytes_sent(self) -> Effects:
-        """Note that the server may have the request from now on."""
+        """Record that the server may have received the request."""
         self.expect(Phase.SENDING)
         self._record_sent()
         return ()
@@ -139,7 +163,10 @@
         self.last_sent = _SENT.MAYBE_SENT
 
     def body_began(self) -> Effects:
-        """Let the upload go on for as long as it makes progress."""
+        """Suspend the deadline of the answer while the body is uploaded.
+
+        Unless it is absolute.
+        """
         self.expect(Phase.SENDING)
         self._uploading = True
         if self.request.is_absolute:
@@ -147,13 +174,13 @@
         return (messages.AnswerBy(math.inf),)
 
     def body_dropped(self) -> Effects:
-        """Note that the body can't be sent again."""
+        """Record that the body can't be sent again."""
         self.expect(Phase.SENDING)
         self._body_dropped = True
         return ()
 
     def body_sent(self, now: float) -> Effects:
-        """Count the time until the answer from the request's last byte."""
+        """Set the answer's deadline, counted from the request's last byte."""
         self.expect(Phase.SENDING)
         if not self._uploading:
             return ()
@@ -164,7 +191,11 @@
         return (messages.AnswerBy(self._deadline),)
 
     def answer_began(self, event: messages.AnswerBegan, now: float) -> Effects:
-        """Relay the answer if it is this request's own and can be whole."""
+        """Relay the answer, or treat the attempt as failed.
+
+        An answer is relayed if it belongs to this request and its end can be
+        recognised.
+        """
         self.expect(Phase.SENDING)
         self._record_sent()
         is_own = event.echoed == self.request.request_id
@@ -185,22 +216,23 @@
         return (messages.Relay(),)
 
     def _is_worth_retry(self, status: int, now: float) -> bool:
-        """Return whether a failed answer is better asked for elsewhere.
+        """Return whether to retry a request answered with an error.
 
-        A server whose health check passes may fail a part of its requests;
-        another one serves them. What may not be repeated is told as it is.
+        A server whose health check passes may fail some of its requests, while
+        another one serves them. The error answer to a request that is not
+        repeatable is relayed.
         """
         if status not in _SERVER_FAILURES or not self.request.repeatable:
             return False
         return self._may_retry(now)
 
     def answer_ended(self) -> Effects:
-        """End: the caller has its whole answer."""
+        """Finish: the complete answer was relayed to the caller."""
         self.expect(Phase.RELAYING)
         return self._finish("answered")
 
     def lost(self, reason: str, now: float) -> Effects:
-        """Try again, refuse, or cut the answer that has begun."""
+        """Retry or refuse; reset the caller if the answer has begun."""
         self.expect(Phase.SENDING, Phase.RELAYING)
         if self.phase is Phase.SENDING:
             return self._failed(reason, now)
@@ -209,9 +241,9 @@
         return (messages.CloseConnection(), cut, *self._finish("cut"))
 
     def caller_gone(self) -> Effects:
-        """Drop the request; closing the connection cancels it."""
+        """Drop the request; closing the connection to the server cancels it."""
         if self.phase is Phase.NEW:
-            raise InvariantError("gone before it came")
+            raise InvariantError("caller left before the request started")
         finish = self._finish("caller-gone")
         return (messages.CloseConnection(), *finish)
 
@@ -237,20 +269,21 @@
             self.counted_attempts < max_attempts
             and len(self.tried) < max_attempts + EXTRA_ATTEMPTS
         )
-        possible = (
+        is_allowed = (
             may_repeat and in_time and tries_left and not self._body_dropped
         )
-        # What reached no server adds no load to any: it needs no budget.
-        if possible and self.last_sent is _SENT.NOT_SENT:
+        # An attempt that reached no server added no load: the retry is not
+        # taken from the budget.
+        if is_allowed and self.last_sent is _SENT.NOT_SENT:
             return True
-        return possible and self._budget.spend()
+        return is_allowed and self._budget.spend()
 
     def _refuse(self, error: str, reason: str, retry_after_s: float) -> Effects:
         outcome = self.outcome
         if outcome is messages.Outcome.NOT_RUN and self.maybe_ran:
-            raise InvariantError("not-run said of what may have run")
-        refusal = messages.Refuse(error, outcome, reason, retry_after_s)
-        return (refusal, *self._finish(outcome.value))
+            raise InvariantError("outcome not-run but an attempt may have run")
+        refuse = messages.Refuse(error, outcome, reason, retry_after_s)
+        return (refuse, *self._finish(outcome.value))
 
     def _finish(self, outcome: str) -> Effects:
         self.phase = Phase.DONE
@@ -258,21 +291,21 @@
 
 
 def _fault(event: messages.AnswerBegan, is_own: bool) -> str:
-    """Return why an answer must not be passed on, or ""."""
+    """Return why an answer must not be relayed, or ""."""
     if event.echoed is not None and not is_own:
         return "an answer to a different request"
     if event.status < 200:
         return f"unasked status {event.status}"
     if not event.framed:
-        # Without a length or chunks, a server that dies midway ends its
-        # answer just as a server that is done does.
+        # Without a length or chunked encoding, an answer that was cut off by
+        # the server's crash can't be told from a complete one.
         return "answer whose end can't be told"
     return "" if event.is_signed else "an answer that no server signed"
 
 
 @functools.singledispatch
 def _on(event: object, attempts: Attempts, now: float) -> Effects:
-    raise TypeError(f"no event of attempts: {event!r}")
+    raise TypeError(f"unknown event type: {event!r}")
 
 
 @_on.register
--- a/hyssopfold/core/attempts/claims.py
+++ b/hyssopfold/core/attempts/claims.py
@@ -1,8 +1,8 @@
-"""Claims on idempotency keys: a caller's resend does not run again.
+"""Claims on idempotency keys: a request sent again by its caller runs once.
 
 Two entries of a region hold each claim, chosen by rendezvous hashing. A
-request with a key runs only if every holder asked grants it; one holder that
-is lost takes no claim with it that the other does not have too.
+request with a key runs only if all of its holders that were asked grant the
+claim. If one holder is lost, the other one still has the claim.
 """
 
 from collections.abc import Iterable
@@ -10,13 +10,15 @@
 import hashlib
 from typing import NamedTuple
 
+# Entries that hold each claim.
 HOLDERS = 2
+# Seconds for which a claim is held after its last change.
 CLAIM_TTL_S = 900.0
 MAX_CLAIMS = 100_000
 
 
 class ClaimState(enum.Enum):
-    """What is known of the request that holds a claim."""
+    """State of the request that was granted a claim."""
 
     RUNNING = "running"
     ANSWERED = "answered"
@@ -25,7 +27,7 @@
 
 
 class VerdictKind(enum.Enum):
-    """What a request that asks for a claim learns."""
+    """Answer to a request for a claim."""
 
     GRANTED = "granted"
     RUNNING = "running"
@@ -37,7 +39,17 @@
 
 
 class Claim(NamedTuple):
-    """A claim as it is held; `status` is that of the answer, if any."""
+    """A claim held by an entry.
+
+    Attributes:
+        claim_id: Identifies the claim.
+        fingerprint: Fingerprint of the request, to recognise another request
+            with the same key.
+        request_id: The request that was granted the claim.
+        state: State of that request.
+        status: Status of its answer, 0 for none.
+        expires: Monotonic time in seconds at which the claim expires.
+    """
 
     claim_id: bytes
     fingerprint: bytes
@@ -48,7 +60,7 @@
 
 
 class Ask(NamedTuple):
-    """Ask for the claim `claim_id` on behalf of a request."""
+    """Message: ask a holder for the claim `claim_id` on behalf of a request."""
 
     claim_id: bytes
     fingerprint: bytes
@@ -56,7 +68,7 @@
 
 
 class Settle(NamedTuple):
-    """Tell what became of the request that was granted a claim."""
+    """Message: report the outcome of the request that was granted a claim."""
 
     claim_id: bytes
     request_id: str
@@ -65,7 +77,7 @@
 
 
 class Verdict(NamedTuple):
-    """Whether a request may run; `status` is of the answer before."""
+    """Whether a request may run; `status` is that of an earlier answer."""
 
     kind: VerdictKind
     status: int = 0
@@ -75,8 +87,8 @@
     """The claims that one entry holds.
 
     Args:
-        ttl_s: Seconds that a claim is held after its last change.
-        max_claims: Most claims held; no more are granted then.
+        ttl_s: Seconds for which a claim is held after its last change.
+        max_claims: Greatest number of claims; further ones are not granted.
     """
 
     def __init__(
@@ -90,7 +102,7 @@
         return len(self._claims)
 
     def ask(self, ask: Ask, now: float) -> Verdict:
-        """Grant a claim that nobody holds; else say what came of it."""
+        """Grant a free claim, or return the state of its request."""
         self._expire(now)
         claim = self._claims.get(ask.claim_id)
         if claim is None:
@@ -104,12 +116,12 @@
             claim.request_id == ask.request_id
             and claim.state is ClaimState.RUNNING
         ):
-            # The same request, asked again after a lost answer.
+            # The same request asks again since the first verdict was lost.
             return Verdict(VerdictKind.GRANTED)
         return Verdict(VerdictKind(claim.state.value), claim.status)
 
     def settle(self, settle: Settle, now: float) -> None:
-        """Take in what became of a request; `not-run` frees its claim."""
+        """Record the outcome of a request; `not-run` frees its claim."""
         claim = self._claims.get(settle.claim_id)
         if claim is None or claim.request_id != settle.request_id:
             return
@@ -125,33 +137,41 @@
         )
 
     def take_over(self, claims: Iterable[Claim], now: float) -> None:
-        """Take over what a leaving holder held."""
+        """Add the claims of a holder that leaves."""
         for claim in claims:
             own = self._claims.get(claim.claim_id)
             if own is None or own.state is ClaimState.RUNNING:
                 self._store(claim._replace(expires=now + self._ttl_s))
 
     def claims(self) -> list[Claim]:
-        """Return all claims that are held."""
+        """Return all claims."""
         return list(self._claims.values())
 
     def _store(self, claim: Claim) -> None:
-        # The newest go last, so that the first ones expire first.
+        # Insert at the end: the claims are ordered by their expiry.
         self._claims.pop(claim.claim_id, None)
         self._claims[claim.claim_id] = claim
 
     def _expire(self, now: float) -> None:
         while self._claims:
-            first = next(iter(self._claims.values()))
-            if first.expires > now:
+            oldest = next(iter(self._claims.values()))
+            if oldest.expires > now:
                 return
-            del self._claims[first.claim_id]
+            del self._claims[oldest.claim_id]
 
 
 def rank_holders(claim_id: bytes, names: Iterable[str]) -> list[str]:
-    """Return `names` by rendezvous hashing, the first holder first.
+    """Return entries ranked for a claim by rendezvous hashing.
+
+    An entry that joins or leaves moves only the claims for which it ranks
+    first.
+
+    Args:
+        claim_id: The claim.
+        names: Names of the entries.
 
-    A name that comes or goes moves only the claims that it ranks first for.
+    Returns:
+        The names, the first holder first.
     """
 
     def score(name: str) -> bytes:
@@ -163,7 +183,7 @@
 
 
 def combine_verdicts(verdicts: Iterable[Verdict]) -> Verdict:
-    """Return the one verdict of several holders: any refusal refuses."""
+    """Return the first refusal of several holders, else a grant."""
     refusals = [
         verdict
         for verdict in verdicts
--- a/hyssopfold/core/attempts/messages.py
+++ b/hyssopfold/core/attempts/messages.py
@@ -1,9 +1,9 @@
-"""Events that one request's attempts bring, and the effects to carry out."""
+"""Events and effects of the state machine of one request's attempts."""
 
 import enum
 from typing import NamedTuple
 
-# A request that three servers failed is unlikely to fare better at a fourth.
+# A request that failed at three servers is unlikely to succeed at a fourth.
 MAX_ATTEMPTS = 3
 
 
@@ -16,22 +16,28 @@
 
 
 class Outcome(enum.Enum):
-    """What a caller is told of a request that brought no whole answer."""
+    """Outcome reported to the caller of a request without a complete answer."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
 
 
 class Request(NamedTuple):
-    """What the decisions need to know of a request.
-
-    `limit_s` is the longest time until the answer begins, counted from the
-    request's head and again from its last byte, so that a long upload is not
-    cut by it, unless `is_absolute`: then the caller itself counts from the
-    head and does not wait longer. `repeatable` says that it may run twice
-    without harm, `max_attempts` to how many servers it may be sent.
-    `expects_silence` says that a connection which was used before may be dead
-    without a sign, so that a first attempt there must leave time for another.
+    """Properties of a request on which its attempts depend.
+
+    Attributes:
+        request_id: Id of the request.
+        repeatable: Whether it may run twice without harm.
+        has_body: Whether it has a body.
+        limit_s: Longest time in seconds until the answer begins, counted from
+            the request's head and again from its last byte, so that it does
+            not cut off a long upload.
+        is_absolute: Whether `limit_s` counts from the head alone: the caller
+            counts so itself and does not wait longer.
+        max_attempts: Number of servers to which it may be sent.
+        expects_silence: Whether a connection that was used before may be dead
+            although no reset arrived, so that a first attempt on it must leave
+            time for another one.
     """
 
     request_id: str
@@ -44,46 +50,49 @@
 
 
 class Started(NamedTuple):
-    """The request's head is there."""
+    """The request's head was received."""
 
 
 class Granted(NamedTuple):
-    """Placement gave a slot."""
+    """Placement granted a slot of a server."""
 
     server_id: str
 
 
 class NoSlot(NamedTuple):
-    """Placement gave no slot; come back in `retry_after_s` seconds."""
+    """Placement granted no slot; retry in `retry_after_s` seconds."""
 
     reason: str
     retry_after_s: float
 
 
 class BytesSent(NamedTuple):
-    """The first byte of the attempt was handed to the network."""
+    """The first byte of the attempt was passed to the network."""
 
 
 class BodyBegan(NamedTuple):
-    """The body's upload began."""
+    """The upload of the body began."""
 
 
 class BodyDropped(NamedTuple):
-    """A part of the body was passed on and not kept: it can't go again."""
+    """A part of the body was forwarded and not kept: it can't be sent again."""
 
 
 class BodySent(NamedTuple):
-    """The last byte of the request was handed to the network."""
+    """The last byte of the request was passed to the network."""
 
 
 class AnswerBegan(NamedTuple):
-    """An answer's head came.
-
-    `echoed` is the request id that it carries, if any; `not_run` whether it
-    claims that the request did not run; `framed` whether its end can be told
-    from its being cut; `misdirected` whether another server than the one
-    meant gave it; `is_signed` whether it carries what each answer made by a
-    server does.
+    """The head of an answer arrived.
+
+    Attributes:
+        status: Status code.
+        echoed: Request id in the answer, if any.
+        not_run: Whether the answer states that the request did not run.
+        framed: Whether its end can be told from a premature close.
+        misdirected: Whether another server than the granted one sent it.
+        is_signed: Whether it has the headers that a server adds to each of
+            its own answers.
     """
 
     status: int
@@ -95,17 +104,17 @@
 
 
 class AnswerEnded(NamedTuple):
-    """The answer is whole."""
+    """The answer is complete."""
 
 
 class Lost(NamedTuple):
-    """The attempt broke: connect error, reset, time-out, cut answer."""
+    """The attempt failed: connect error, reset, time-out, incomplete answer."""
 
     reason: str
 
 
 class CallerGone(NamedTuple):
-    """The caller left, or its request can't become whole."""
+    """The caller closed its connection, or its request can't be completed."""
 
 
 Event = (
@@ -124,16 +133,19 @@
 
 
 class Acquire(NamedTuple):
-    """Ask placement for a slot on a server other than those tried."""
+    """Effect: ask placement for a slot of a server that was not tried yet."""
 
     tried: tuple[str, ...]
     deadline: float
 
 
 class Send(NamedTuple):
-    """Send to the granted server, on a new connection if `fresh`.
+    """Effect: send the request to the granted server.
 
-    `deadline` is when the answer must have begun.
+    Attributes:
+        number: Number of the attempt, from 1.
+        fresh: Whether a new connection must be used.
+        deadline: Time at which the answer must have begun.
     """
 
     number: int
@@ -142,21 +154,21 @@
 
 
 class AnswerBy(NamedTuple):
-    """The answer must have begun by `deadline`, from now on."""
+    """Effect: change the time at which the answer must have begun."""
 
     deadline: float
 
 
 class Relay(NamedTuple):
-    """Pass the answer on to the caller as it comes."""
+    """Effect: relay the answer to the caller as it arrives."""
 
 
 class CloseConnection(NamedTuple):
-    """Close the connection to the server; it may not be used again."""
+    """Effect: close the connection to the server; it must not be used again."""
 
 
 class Refuse(NamedTuple):
-    """Tell the caller that there is no answer, and what is certain."""
+    """Effect: refuse the request and report its outcome to the caller."""
 
     error: str
     outcome: Outcome
@@ -165,13 +177,13 @@
 
 
 class CutCaller(NamedTuple):
-    """Reset the caller's connection: the answer it has begun is not whole."""
+    """Effect: reset the caller's connection, the answer is incomplete."""
 
     reason: str
 
 
 class Finish(NamedTuple):
-    """Nothing is left to do."""
+    """Effect: the request has ended with `outcome`."""
 
     outcome: str
 
--- a/hyssopfold/core/attempts/quarantine.py
+++ b/hyssopfold/core/attempts/quarantine.py
@@ -1,10 +1,10 @@
-"""Requests under which servers crashed, and which of them run no more.
+"""Quarantine of requests that crash the servers that run them.
 
-A request is known by its fingerprint, a server by a number for one life of it.
-What entries see of one request adds up to two growing sets: lives that ended
-while they may have run it, and those of them that say nothing about it, since
-the same request was answered elsewhere. So reports may come late, twice and in
-any order.
+A request is identified by its fingerprint, a server incarnation by its key (see
+`server_stats.incarnation_key`). For each request the instances merge two sets
+that only grow: the incarnations that crashed while they may have run it, and
+those of them that don't count since the same request was also answered.
+Reports may therefore arrive late, twice and in any order.
 """
 
 from collections.abc import Collection
@@ -15,38 +15,41 @@
 
 from hyssopfold.core.balancing import affinity
 
-# Servers that a request may crash before it is held back.
+# Crashes after which a request is quarantined.
 CRASH_LIMIT = 3
-# Crashes from which on all instances are told; most requests that a crash
-# interrupts are seen in one only.
+# Crashes after which a request is reported to all instances; most requests that
+# a crash interrupts are involved in only one.
 SHARE_AFTER_CRASHES = 2
-# Instances that count the crashes of one request until then.
+# Instances that count the crashes of one request before that.
 COUNTING_INSTANCES = 3
-# How long a request is remembered after its last crash: one that is held
-# back, and one that may have been interrupted by chance.
+# Seconds for which a record is kept after the last crash: that of a quarantined
+# request, and that of one which may have been interrupted by chance.
 QUARANTINE_TTL_S = 86_400.0
 SUSPECT_TTL_S = 600.0
-# A request that is held back runs once more after so long, since servers may
-# have been mended, and a last time after the second.
+# Seconds after the last crash at which a quarantined request is tried again:
+# the servers may have been repaired. After the second trial there is no other.
 TRIALS_AFTER_S = (60.0, 600.0)
-# A trial that brought neither an answer nor a crash may be repeated then.
+# Seconds after which a trial without an answer or a crash may be repeated.
 TRIAL_TIMEOUT_S = 30.0
-# A request that was answered so lately did not crash a server since.
+# Seconds after an answer within which a crash is not attributed to the request.
 RECENT_ANSWER_S = 10.0
 MAX_RECENT_ANSWERS = 4_096
-# Crashes, each followed by an answer, after which more prove nothing.
+# Crashes disproved by answers, after which further ones are not recorded.
 MAX_CLEARED = 8
 MAX_RECORDS = 2_000
 NO_DIGEST = -1
-# The first bytes of a fingerprint are those of the request's head alone.
+# The first bytes of a fingerprint, which depend on the request's head alone.
 HEAD_BYTES = 8
 
 
 class Report(NamedTuple):
-    """What is known of one request.
+    """The crashes recorded for one request, as sent to other instances.
 
-    `crashed` are the lives of servers that ended under it, `cleared` those of
-    them that do not count; `age_s` is the time since the last crash.
+    Attributes:
+        fingerprint: The request.
+        crashed: Keys of the server incarnations that crashed under it.
+        cleared: Those of them that don't count.
+        age_s: Seconds since the last crash.
     """
 
     fingerprint: bytes
@@ -56,10 +59,11 @@
 
 
 class QuarantineUpdate(NamedTuple):
-    """Message: reports, and a hash of all that the sender knows.
+    """Message: reports, and a digest of the sender's shared records.
 
-    A receiver with another hash answers with what it knows if `asks`; without
-    it, it tells what the sender may lack and expects nothing.
+    A receiver with another digest answers with its own reports. With
+    `expects_reply` the answer contains the receiver's digest, so that the
+    sender answers with its reports in turn.
     """
 
     reports: tuple[Report, ...]
@@ -76,7 +80,7 @@
 
     @property
     def counted(self) -> int:
-        """Return the crashes that count."""
+        """Return the number of crashes that count."""
         return len(self.crashed - self.cleared)
 
 
@@ -84,16 +88,21 @@
 
 
 class Quarantine:
-    """Keep what is known of requests under which servers crashed.
+    """The crash records of requests, as known to one instance.
+
+    Instances exchange its reports; entries ask it whether a request may run.
 
     Args:
         name: Name of this instance.
+
+    Attributes:
+        digest: Hash of the shared records, equal at instances that agree.
     """
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._records: dict[bytes, _Record] = {}
-        # Requests that were answered here lately, oldest first.
+        # Times at which requests were answered at this entry, oldest first.
         self._answered_at: dict[bytes, float] = {}
         self._heads: dict[bytes, int] = {}
         self.digest = 0
@@ -103,22 +112,22 @@
 
     @property
     def quarantined(self) -> int:
-        """Return how many requests are held back."""
+        """Return the number of quarantined requests."""
         return sum(
             record.counted >= CRASH_LIMIT for record in self._records.values()
         )
 
     def crashes(self, fingerprint: bytes) -> int:
-        """Return how many servers crashed under a request."""
+        """Return the number of crashes that count for a request."""
         return self._records.get(fingerprint, _NONE).counted
 
     def is_shared(self, fingerprint: bytes) -> bool:
-        """Return whether all instances are to know of a request."""
+        """Return whether a request is reported to all instances."""
         record = self._records.get(fingerprint, _NONE)
         return len(record.crashed) >= SHARE_AFTER_CRASHES
 
     def has_head(self, head: bytes) -> bool:
-        """Return whether a request with this head may be held back.
+        """Return whether a request with this head may be quarantined.
 
         Args:
             head: The first part of its fingerprint.
@@ -128,7 +137,16 @@
     def record_crash(
         self, fingerprint: bytes, incarnation_key: int, now: float
     ) -> bool:
-        """Take in that a server crashed here; return whether that is news."""
+        """Record that a server crashed under a request of this entry.
+
+        Args:
+            fingerprint: The request.
+            incarnation_key: Key of the server incarnation.
+            now: Monotonic time in seconds.
+
+        Returns:
+            Whether the record changed.
+        """
         record = self._records.get(fingerprint, _NONE)
         if (
             incarnation_key in record.crashed
@@ -151,7 +169,7 @@
         )
 
     def record_answer(self, fingerprint: bytes, now: float) -> bool:
-        """Take in that a request was answered; return whether that is news."""
+        """Record an answer; return whether the request's record changed."""
         self._answered_at.pop(fingerprint, None)
         self._answered_at[fingerprint] = now
         if len(self._answered_at) > MAX_RECENT_ANSWERS:
@@ -179,12 +197,12 @@
     ) -> bool:
         """Return whether a request may be sent to a server now.
 
-        One that is held back is tried again by one entry, and by no other.
+        Only one entry makes the trials of a quarantined request.
 
         Args:
             fingerprint: The request.
-            attempt: Names the attempt; asked again, a trial gets the same
-                answer.
+            attempt: Identifies the attempt; a repeated call for a trial
+                returns the same result.
             entries: Names of the entries that serve callers.
             now: Monotonic time in seconds.
         """
@@ -208,7 +226,7 @@
         return True
 
     def merge(self, reports: Iterable[Report], now: float) -> tuple[bytes, ...]:
-        """Take in what another instance knows; return what was news."""
+        """Merge another instance's reports; return the changed requests."""
         return tuple(
             report.fingerprint
             for report in reports
@@ -246,7 +264,7 @@
         return True
 
     def _evict(self) -> None:
-        """Forget the least suspect, oldest record when there are too many."""
+        """Drop a record if there are too many: the oldest of a suspect first."""
         if len(self._records) < MAX_RECORDS:
             return
         evicted = min(
@@ -269,7 +287,7 @@
             del self._heads[head]
 
     def expire(self, now: float) -> bool:
-        """Forget requests whose last crash is long ago; return whether any."""
+        """Drop the expired records; return whether there were any."""
         expired = [
             fingerprint
             for fingerprint, record in self._records.items()
@@ -280,7 +298,7 @@
         return bool(expired)
 
     def report(self, fingerprint: bytes, now: float) -> Report:
-        """Return what is known of one request."""
+        """Return the report of one request."""
         record = self._records.get(fingerprint, _NONE)
         return Report(
             fingerprint,
@@ -290,7 +308,7 @@
         )
 
     def shared(self, now: float) -> list[Report]:
-        """Return what all instances are to know."""
+        """Return the reports that all instances shall have."""
         return [
             self.report(fingerprint, now)
             for fingerprint in self._records
@@ -303,7 +321,7 @@
 
 
 def _hash(fingerprint: bytes, record: _Record) -> int:
-    """Return a hash of what is shared of a record, 0 for one that is not."""
+    """Return a hash of a shared record, 0 for one that is not shared."""
     if len(record.crashed) < SHARE_AFTER_CRASHES:
         return 0
     sets = (sorted(record.crashed), sorted(record.cleared))
--- a/hyssopfold/core/balancing/server_stats.py
+++ b/hyssopfold/core/balancing/server_stats.py
@@ -27,7 +27,7 @@
 # Ejection of a server whose address belongs to another server now; its lease
 # ends within this time.
 ADDRESS_TAKEN_EJECTION_S = 4.0
-# Ejection of a server that refused a request since its queue was full: about
+# Ejection of a server that refused a request for lack of capacity: about
 # the time in which one of its requests ends.
 SHED_EJECTION_S = 0.1
 
--- a/hyssopfold/core/draining/stop.py
+++ b/hyssopfold/core/draining/stop.py
@@ -1,11 +1,11 @@
-"""When an entry that stops may close connections, and when it may exit."""
+"""Phases of an entry's planned stop: when to close connections and to exit."""
 
 import enum
 from typing import NamedTuple
 
 
 class Phase(enum.Enum):
-    """How far a planned stop has come."""
+    """Phase of a planned stop."""
 
     SERVING = "serving"
     LEAVING = "leaving"
@@ -14,27 +14,34 @@
 
 
 class Observed(NamedTuple):
-    """Open connections, and requests under way, at this moment."""
+    """Numbers of open connections and of requests under way."""
 
     connections: int
     requests: int
 
 
 class Stop:
-    """Decide the steps of a planned stop.
+    """State machine of an entry's planned stop.
 
-    Callers cache look-ups, so an entry that leaves goes on taking requests
-    until the last look-up that may name it has expired: `lookup_ttl_s` after
-    all others know that it leaves, which takes `propagation_s`. Only then are
-    connections closed, and only those without a request.
+    Callers cache look-ups, so a leaving entry accepts requests until the last
+    look-up that returned it has expired: `lookup_ttl_s` after all other entries
+    know that it leaves, which takes `propagation_s`. Only then are connections
+    closed, and only those without a request under way.
 
     Args:
-        lookup_ttl_s: Seconds that callers may cache a look-up.
-        propagation_s: Seconds until other entries stop naming this one.
-        max_s: Longest a stop may take in all.
-        serve_s: Seconds for which new requests are taken, when a stop must
-            not wait for the look-ups: callers that come later are turned away
-            unread, and go to another entry.
+        lookup_ttl_s: Seconds for which callers may cache a look-up.
+        propagation_s: Seconds until other entries stop returning this one in
+            look-ups.
+        max_s: Longest duration of a stop in seconds.
+        serve_s: Seconds for which new requests are accepted, if the stop must
+            not wait for the look-ups to expire. The connections of later
+            callers are closed before their request is read, and they use
+            another entry.
+
+    Attributes:
+        phase: The current phase.
+        rejects_callers: Whether later callers are rejected, see `serve_s`.
+        cut_requests: Requests that were under way when the stop was forced.
     """
 
     def __init__(
@@ -54,18 +61,23 @@
         self.cut_requests = 0
 
     def begin(self, now: float) -> None:
-        """Begin to stop; asking again changes nothing."""
+        """Begin to stop; further calls have no effect."""
         if self.phase is Phase.SERVING:
             self.phase = Phase.LEAVING
             self._began_at = now
 
     def force(self, observed: Observed) -> None:
-        """End at once, cutting the requests under way."""
+        """End the stop at once, aborting the requests under way."""
         self.phase = Phase.DONE
         self.cut_requests = observed.requests
 
     def tick(self, observed: Observed, now: float) -> Phase:
-        """Return the phase at `now`, given what is open."""
+        """Update and return the phase.
+
+        Args:
+            observed: What is open.
+            now: Monotonic time in seconds.
+        """
         if self.phase is Phase.LEAVING and now >= self._began_at + self._wait_s:
             self.phase = Phase.DRAINING
         if self.phase is Phase.DRAINING and observed.connections == 0:
--- a/hyssopfold/core/orders/__init__.py
+++ b/hyssopfold/core/orders/__init__.py
@@ -1,1 +1,1 @@
-"""Orders of operators and what they make of the replicated state."""
+"""Orders of operators, applied to the replicated state."""
--- a/hyssopfold/core/orders/orders.py
+++ b/hyssopfold/core/orders/orders.py
@@ -1,4 +1,4 @@
-"""What an operator's order makes of the replicated state."""
+"""Apply the orders of operators to the replicated state."""
 
 from collections.abc import Callable
 import functools
@@ -11,19 +11,22 @@
 
 
 class Document(NamedTuple):
-    """An operator's document: its rows as sent, and the tables they make."""
+    """An operator's document: its rows as sent and the tables that result."""
 
     rows: tuple[state_module.Row, ...]
     tables: tables_module.Tables
 
 
 class Edit(NamedTuple):
-    """Put a document in force under a version that its operator chose.
-
-    `base` is the version that it builds on, compared with the one in force
-    as in a compare-and-set. `build` makes the document from the rows in
-    force; a whole document ignores them, a patch edits some. It raises
-    `InvalidDocumentError` when the result is none.
+    """Order to put a document in force under a version chosen by the operator.
+
+    Attributes:
+        base: The version that the edit is based on. It must be the one in
+            force, as in a compare-and-set.
+        version: The new version.
+        build: Returns the document, given the rows in force: a complete
+            document ignores them, a patch edits some. Raises
+            `InvalidDocumentError` when the result is no valid document.
     """
 
     base: int
@@ -32,13 +35,13 @@
 
 
 class Evacuate(NamedTuple):
-    """Give no more work to the servers of a failure domain."""
+    """Order to send no more requests to the servers of a failure domain."""
 
     failure_domain: str
 
 
 class EndEvacuation(NamedTuple):
-    """Let the servers of a failure domain have work again."""
+    """Order to send requests to the servers of a failure domain again."""
 
     failure_domain: str
 
@@ -48,50 +51,51 @@
 
 @functools.singledispatch
 def apply(
-    order: Order, held: state_module.State, utc_s: float
+    order: Order, current: state_module.State, utc_s: float
 ) -> state_module.State:
-    """Return the state that `order` makes of `held`.
+    """Return the state after an order.
 
     Args:
-        order: What the operator asks for.
-        held: The state in force.
-        utc_s: UTC in seconds since 1970, the start of shifts that it plans.
+        order: The operator's order.
+        current: The state in force.
+        utc_s: UTC in seconds since 1970, the start of the shifts that result.
 
     Raises:
         VersionConflictError: when another version is in force than expected.
-        InvalidDocumentError: when the order must not be put in force.
+        InvalidDocumentError: when the resulting document or version is not
+            valid.
     """
-    raise TypeError(f"no such order: {order!r}")
+    raise TypeError(f"unknown order type: {order!r}")
 
 
 @apply.register
 def _(
-    order: Edit, held: state_module.State, utc_s: float
+    order: Edit, current: state_module.State, utc_s: float
 ) -> state_module.State:
-    if order.base != held.version:
-        raise errors.VersionConflictError(order.base, held.version)
-    if order.version <= held.version:
-        allowed = f"a version above {held.version}, the one in force"
+    if order.base != current.version:
+        raise errors.VersionConflictError(order.base, current.version)
+    if order.version <= current.version:
+        allowed = f"a version above {current.version}, the one in force"
         _raise_fault("version", str(order.version), allowed)
-    document = order.build(held.rows)
-    new = plans.after_edit(held, document.tables, utc_s)
+    document = order.build(current.rows)
+    new = plans.after_edit(current, document.tables, utc_s)
     return new._replace(version=order.version, rows=document.rows)
 
 
 @apply.register
 def _(
-    order: Evacuate, held: state_module.State, utc_s: float
+    order: Evacuate, current: state_module.State, utc_s: float
 ) -> state_module.State:
-    evacuated = {*held.evacuated, order.failure_domain}
-    return held._replace(evacuated=tuple(sorted(evacuated)))
+    evacuated = {*current.evacuated, order.failure_domain}
+    return current._replace(evacuated=tuple(sorted(evacuated)))
 
 
 @apply.register
 def _(
-    order: EndEvacuation, held: state_module.State, utc_s: float
+    order: EndEvacuation, current: state_module.State, utc_s: float
 ) -> state_module.State:
-    evacuated = set(held.evacuated) - {order.failure_domain}
-    return held._replace(evacuated=tuple(sorted(evacuated)))
+    evacuated = set(current.evacuated) - {order.failure_domain}
+    return current._replace(evacuated=tuple(sorted(evacuated)))
 
 
 def _raise_fault(where: str, value: str, allowed: str) -> None:
