--- a/hyssopfold/core/attempts/quarantine.py
+++ b/hyssopfold/core/attempts/quarantine.py
@@ -264,7 +264,7 @@
         return True
 
     def _evict(self) -> None:
-        """Drop a record if there are too many: the oldest of a suspect first."""
+        """Drop a record if there are too many: the oldest suspect first."""
         if len(self._records) < MAX_RECORDS:
             return
         evicted = min(
--- a/tests/steps/core/balancing/load_reports_steps.py
+++ b/tests/steps/core/balancing/load_reports_steps.py
@@ -41,18 +41,18 @@
 
 
 def _order(context, key):
-    ids = [one.server_id for one in context.servers]
+    ids = [server.server_id for server in context.servers]
     return affinity.rank_unweighted(key, ids)
 
 
-@given("an entry that has met {count:d} servers of {slots:d} slots")
+@given("an entry that has used {count:d} servers of {slots:d} slots")
 def _(context, count, slots):
     context.now = 100.0
     context.servers = [_server(number, slots) for number in range(count)]
     context.chooser = local.Chooser("e1", "dakar")
-    names = [one.server_id for one in context.servers]
-    for name in names:
-        others = tuple(other for other in names if other != name)
+    server_ids = [server.server_id for server in context.servers]
+    for server_id in server_ids:
+        others = tuple(other for other in server_ids if other != server_id)
         grant = _choose(context, _request("any", others))
         done = messages.Done("answered", 0.3)
         context.chooser.record_done(
@@ -61,8 +61,7 @@
 
 
 @when(
-    'another entry tells that the first server of "{key}" has'
-    " {requests:d} requests"
+    'another entry reports {requests:d} requests at the first server of "{key}"'
 )
 def _(context, key, requests):
     first = _order(context, key)[0]
@@ -71,10 +70,7 @@
     )
 
 
-@when(
-    'another entry tells that both servers of "{key}" have'
-    " {requests:d} requests"
-)
+@when('another entry reports {requests:d} requests at both servers of "{key}"')
 def _(context, key, requests):
     loads = [
         (_incarnation_key(name), requests) for name in _order(context, key)[:2]
@@ -82,17 +78,17 @@
     context.chooser.record_loads(loads, context.now)
 
 
-@when("{seconds:g} s pass for the entry that was told")
+@when("{seconds:g} s pass after the report")
 def _(context, seconds):
     context.now += seconds
 
 
 @when(
-    'the first server of "{key}" then answers here that it has'
-    " {requests:d} {word}"
+    'the first server of "{key}" then answers with a load of'
+    " {requests:d} {noun}"
 )
-def _(context, key, requests, word):
-    # Past the time in which the report refuses requests.
+def _(context, key, requests, noun):
+    # The report is by then too old to cause refusals.
     context.now += 0.6
     order = _order(context, key)
     grant = _choose(context, _request(key, order[1:]))
@@ -104,59 +100,65 @@
 
 @then('a request for "{key}" goes to its {place} server')
 def _(context, key, place):
-    wanted = _order(context, key)[("first", "second").index(place)]
-    assert _choose(context, _request(key)).server.server_id == wanted
+    expected = _order(context, key)[("first", "second").index(place)]
+    assert _choose(context, _request(key)).server.server_id == expected
 
 
 @then('a request for "{key}" is {outcome}')
 def _(context, key, outcome):
-    found = _choose(context, _request(key))
+    answer = _choose(context, _request(key))
     kind = messages.Refused if outcome == "refused" else messages.Grant
-    assert isinstance(found, kind), found
+    assert isinstance(answer, kind), answer
 
 
-@then("the entry has nothing to tell")
+@then("the entry has no load to report")
 def _(context):
     assert not context.chooser.has_busy
 
 
-@then("the entry tells once of {requests:d} requests")
+@then("the entry reports once a load of {requests:d} requests")
 def _(context, requests):
-    told = context.chooser.take_busy()
-    assert [count for _, count in told] == [requests], told
+    loads = context.chooser.take_busy()
+    assert [count for _, count in loads] == [requests], loads
     assert not context.chooser.take_busy()
 
 
-@then("of {count:d} entries each tells {told:d} others, and is told by them")
-def _(context, count, told):
+@then(
+    "of {count:d} entries each sends reports to {others:d} others, and receives"
+    " theirs"
+)
+def _(context, count, others):
     names = [f"entry-{number}" for number in range(count)]
-    tells = {
+    receivers = {
         name: load_reports.neighbours(name, names, _EACH_SIDE) for name in names
     }
-    for name, others in tells.items():
-        assert len(others) == told, (name, others)
-        assert all(name in tells[other] for other in others), name
+    for name, neighbours in receivers.items():
+        assert len(neighbours) == others, (name, neighbours)
+        assert all(name in receivers[other] for other in neighbours), name
 
 
-def _late(told):
-    """Return the share of late answers of a burst."""
+def _late_share(with_reports):
+    """Return the share of late answers in a burst."""
     site = sites.SITES["large-shops"]
-    held = world.World(site, 1.1, 1, local.Chooser)
-    held.burst(1.7, (8.0, 13.0))
-    held.evacuate("pacifico-0", (4.0, 14.0))
-    if told:
-        held.tell_busy(_BATCH_S, _EACH_SIDE)
-    held.run(16.0)
-    late = sum(one["late"] for one in held.tallies.values())
-    return late / sum(one["asked"] for one in held.tallies.values())
+    emulated = world.World(site, 1.1, 1, local.Chooser)
+    emulated.burst(1.7, (8.0, 13.0))
+    emulated.evacuate("pacifico-0", (4.0, 14.0))
+    if with_reports:
+        emulated.tell_busy(_BATCH_S, _EACH_SIDE)
+    emulated.run(16.0)
+    late = sum(tally["late"] for tally in emulated.tallies.values())
+    return late / sum(tally["asked"] for tally in emulated.tallies.values())
 
 
-@when("the burst is played with and without reports of loads")
+@when("the burst is emulated with and without load reports")
 def _(context):
-    context.late = _late(told=True), _late(told=False)
+    context.late = (
+        _late_share(with_reports=True),
+        _late_share(with_reports=False),
+    )
 
 
-@then("at least a fifth fewer answers are late with them")
+@then("with load reports at least a fifth fewer answers are late")
 def _(context):
-    with_them, without = context.late
-    assert with_them <= 0.8 * without, context.late
+    with_reports, without = context.late
+    assert with_reports <= 0.8 * without, context.late
--- a/tests/steps/core/balancing/local_steps.py
+++ b/tests/steps/core/balancing/local_steps.py
@@ -64,38 +64,40 @@
     context.local_cold_rate = rate
 
 
-@given('the first server of "{key}" says that it is cold')
+@given('the first server of "{key}" announces that it is cold')
 def _(context, key):
     context.local_cold = {_order(context, key)[0]}
 
 
 def _order(context, key):
     return affinity.rank_unweighted(
-        key, {one.server_id for one in context.local_servers}
+        key, {server.server_id for server in context.local_servers}
     )
 
 
-def _take_from_first(context, key, done):
-    """Let a request that went to the object's first server end."""
+def _end_at_first(context, key, done):
+    """Send a request to the object's first server and end it with `done`."""
     chooser = context.local_chooser
     grant = chooser.choose(_request(key), _view(context))
     assert grant.server.server_id == _order(context, key)[0]
     chooser.record_done(grant.server.server_id, done, 3.0, context.local_now)
 
 
-@given('the first server of "{key}" told a load of {load:d} running or waiting')
+@given(
+    'the first server of "{key}" reported {load:d} running or waiting requests'
+)
 def _(context, key, load):
-    told = messages.Load(3, load - 3, 3)
-    done = messages.Done("answered", 0.1, load=told)
-    _take_from_first(context, key, done)
+    reported = messages.Load(3, load - 3, 3)
+    done = messages.Done("answered", 0.1, load=reported)
+    _end_at_first(context, key, done)
 
 
-@given('the first {count:d} servers of "{key}" know it')
+@given('the first {count:d} servers of "{key}" have it cached')
 def _(context, count, key):
     chooser, now = context.local_chooser, context.local_now
     order = _order(context, key)
-    for name in order[:count]:
-        others = tuple(one for one in order if one != name)
+    for server_id in order[:count]:
+        others = tuple(other for other in order if other != server_id)
         req = _request(key)._replace(avoid=others)
         grant = chooser.choose(req, _view(context))
         done = messages.Done("answered", 0.1)
@@ -103,10 +105,10 @@
         chooser.record_done(grant.server.server_id, done, 3.0, now)
 
 
-@given('the first server of "{key}" took no connection')
+@given('the first server of "{key}" refused a connection')
 def _(context, key):
     done = messages.Done("failed", 0.1, reached=False, good=False)
-    _take_from_first(context, key, done)
+    _end_at_first(context, key, done)
 
 
 @when('{count:d} requests for object "{key}" are placed locally')
@@ -134,7 +136,8 @@
 
 
 @when(
-    '{count:d} requests for {keys:d} objects are placed locally with "{domain}" closed'
+    "{count:d} requests for {keys:d} objects are placed locally with"
+    ' "{domain}" closed'
 )
 def _(context, count, keys, domain):
     regions = (messages.Region("dar", False, (domain,)),)
@@ -150,29 +153,29 @@
         )
 
 
-def _went_to(context):
-    return [one.server.server_id for one in context.local_answers]
+def _chosen_ids(context):
+    return [grant.server.server_id for grant in context.local_answers]
 
 
-@then('they all went to the first server of "{key}"')
+@then('all requests went to the first server of "{key}"')
 def _(context, key):
-    assert set(_went_to(context)) == {_order(context, key)[0]}
+    assert set(_chosen_ids(context)) == {_order(context, key)[0]}
 
 
-@then("they were placed as at a cold server")
+@then("the grants mark the server as cold")
 def _(context):
-    assert all(one.is_cold for one in context.local_answers)
+    assert all(grant.is_cold for grant in context.local_answers)
 
 
-@then('they all went to the second server of "{key}"')
+@then('all requests went to the second server of "{key}"')
 def _(context, key):
-    assert set(_went_to(context)) == {_order(context, key)[1]}
+    assert set(_chosen_ids(context)) == {_order(context, key)[1]}
 
 
-@then('they went to the first {count:d} servers of "{key}" alone')
+@then('the requests went to exactly the first {count:d} servers of "{key}"')
 def _(context, count, key):
-    wanted = set(_order(context, key)[:count])
-    assert set(_went_to(context)) == wanted, Counter(_went_to(context))
+    expected = set(_order(context, key)[:count])
+    assert set(_chosen_ids(context)) == expected, Counter(_chosen_ids(context))
 
 
 @then("two entries agree on the server of each of {count:d} objects")
@@ -180,40 +183,41 @@
     context.local_before = {}
     for number in range(count):
         key = f"object {number}"
-        found = []
+        chosen = []
         for name in ("e1", "e2"):
             chooser = local.Chooser(name)
             grant = chooser.choose(_request(key), _view(context))
-            found.append(grant.server.server_id)
-        assert found[0] == found[1]
-        context.local_before[key] = found[0]
+            chosen.append(grant.server.server_id)
+        assert chosen[0] == chosen[1]
+        context.local_before[key] = chosen[0]
 
 
 @then("the loss of one server moves only its own objects")
 def _(context):
-    lost, *left = context.local_servers
+    lost, *remaining = context.local_servers
     for key, before in context.local_before.items():
         chooser = local.Chooser("e1")
-        grant = chooser.choose(_request(key), _view(context, left))
+        grant = chooser.choose(_request(key), _view(context, remaining))
         moved = grant.server.server_id != before
         assert moved == (before == lost.server_id), key
 
 
 @then('the first server of "{key}" gets at most {most:d} requests in a second')
 def _(context, key, most):
-    chooser, got = context.local_chooser, 0
+    chooser, received = context.local_chooser, 0
     for _ in range(100):
         context.local_now += 0.01
         grant = chooser.choose(_request(key), _view(context))
         server_id = grant.server.server_id
-        got += server_id == _order(context, key)[0]
+        received += server_id == _order(context, key)[0]
         done = messages.Done("answered", 0.01)
         chooser.record_done(server_id, done, 3.0, context.local_now)
-    assert 1 <= got <= most, got
+    assert 1 <= received <= most, received
 
 
 @given(
-    "{count:d} local entries that know a cold server bearing {rate:g} a second"
+    "{count:d} local entries and a cold server bearing {rate:g} requests a"
+    " second"
 )
 def _(context, count, rate):
     context.local_cold_rate = rate
@@ -221,25 +225,27 @@
     context.local_now = 100.0
     context.local_servers = [_server(1, 1000)]
     context.local_names = [f"e{n}" for n in range(count)]
-    context.local_entries = [local.Chooser(one) for one in context.local_names]
+    context.local_entries = [
+        local.Chooser(name) for name in context.local_names
+    ]
     context.local_cut_off = ()
 
 
-@given("the {count:d} that rank last for it know of no other entry")
+@given("the {count:d} entries that rank last for it know no other entry")
 def _(context, count):
     ranked = affinity.rank_unweighted("s1", context.local_names)
     context.local_cut_off = ranked[-count:]
 
 
-@when("all of them place as many requests as they may for {seconds:d} s")
+@when("all entries place as many requests as they can for {seconds:d} s")
 def _(context, seconds):
     context.local_sent = []
     for _ in range(seconds * 100):
         context.local_now += 0.01
         names = tuple(context.local_names)
         for name, chooser in zip(names, context.local_entries, strict=True):
-            known = (name,) if name in context.local_cut_off else names
-            view = _view(context, cold={"s1"}, entries=known)
+            entries = (name,) if name in context.local_cut_off else names
+            view = _view(context, cold={"s1"}, entries=entries)
             for _ in range(3):
                 answer = chooser.choose(_request("book"), view)
                 if isinstance(answer, messages.Grant):
@@ -248,45 +254,43 @@
                     chooser.record_done("s1", done, 3.0, context.local_now)
 
 
-@then("in no second did the cold server get more than {most:d} requests")
+@then("the cold server got at most {most:d} requests in any second")
 def _(context, most):
     sent = context.local_sent
-    for at in sent:
-        assert sum(at <= other < at + 1 for other in sent) <= most
+    for begin in sent:
+        assert sum(begin <= time < begin + 1 for time in sent) <= most
 
 
-@then("in {seconds:d} s it got at least {least:d}")
+@then("in {seconds:d} s the cold server got at least {least:d} requests")
 def _(context, seconds, least):
     assert len(context.local_sent) >= least, len(context.local_sent)
 
 
-@then('no server of "{domain}" got any')
+@then('no server of "{domain}" got a request')
 def _(context, domain):
-    used = {one.server.failure_domain for one in context.local_answers}
+    used = {grant.server.failure_domain for grant in context.local_answers}
     assert used
     assert domain not in used
 
 
-@then("{count:d} of them were refused for want of room")
+@then("{count:d} of the requests were refused")
 def _(context, count):
     refused = [
-        one
-        for one in context.local_answers
-        if isinstance(one, messages.Refused)
+        answer
+        for answer in context.local_answers
+        if isinstance(answer, messages.Refused)
     ]
     assert len(refused) == count, len(refused)
 
 
-@then(
-    'those that were not refused went to the first {count:d} servers of "{key}"'
-)
+@then('the accepted requests went to the first {count:d} servers of "{key}"')
 def _(context, count, key):
-    went = {
-        one.server.server_id
-        for one in context.local_answers
-        if isinstance(one, messages.Grant)
+    chosen = {
+        answer.server.server_id
+        for answer in context.local_answers
+        if isinstance(answer, messages.Grant)
     }
-    assert went == set(_order(context, key)[:count]), went
+    assert chosen == set(_order(context, key)[:count]), chosen
 
 
 @given('local servers, {near:d} of region "{region}" and {far:d} elsewhere')
@@ -300,7 +304,8 @@
 
 
 @then(
-    'an entry of "{region}" places {least:g} to {most:g} of {count:d} objects in "{same}"'
+    'an entry of "{region}" places {least:g} to {most:g} of {count:d} objects'
+    ' in "{same}"'
 )
 def _(context, region, least, most, count, same):
     regions = (messages.Region(region, False), messages.Region("far", False))
@@ -314,7 +319,7 @@
 
 
 @given(
-    'the first server of "{key}" holds a request for {seconds:g} s without an answer'
+    'a request to the first server of "{key}" is unanswered for {seconds:g} s'
 )
 def _(context, key, seconds):
     grant = context.local_chooser.choose(_request(key), _view(context))
@@ -322,76 +327,79 @@
     context.local_now += seconds
 
 
-@when('the request held at the first server of "{key}" ends unanswered')
+@when('the pending request to the first server of "{key}" fails')
 def _(context, key):
     done = messages.Done("failed", 1.0, good=False)
     first = _order(context, key)[0]
     context.local_chooser.record_done(first, done, 3.0, context.local_now)
 
 
-@given('at the address of the first server of "{key}" another one answered')
+@given('another server answered at the address of the first server of "{key}"')
 def _(context, key):
     done = messages.Done("shed", 0.1, good=False, elsewhere=True)
-    _take_from_first(context, key, done)
+    _end_at_first(context, key, done)
 
 
 def _other_entries(context, count):
-    context.local_others = {
+    context.local_other_entries = {
         f"other-{n}": local.Chooser(f"other-{n}") for n in range(count)
     }
-    return context.local_others.values()
+    return context.local_other_entries.values()
 
 
-def _meet_first(context, key):
-    """Let this entry know the server, as one that has used it does."""
+def _use_first(context, key):
+    """Let this entry use the server once, so that it has statistics of it."""
     grant = context.local_chooser.choose(_request(key), _view(context))
     done = messages.Done("answered", 0.1)
     server_id = grant.server.server_id
     context.local_chooser.record_done(server_id, done, 3.0, context.local_now)
 
 
-@given('{count:d} other entries wait in vain at the first server of "{key}"')
+@given(
+    "{count:d} other entries have unanswered requests at the first server of"
+    ' "{key}"'
+)
 def _(context, count, key):
     others = _other_entries(context, count)
     for other in others:
         other.choose(_request(key), _view(context))
-    _meet_first(context, key)
+    _use_first(context, key)
     context.local_now += 1.0
 
 
-@given('the first server of "{key}" starts again')
+@given('the first server of "{key}" restarts')
 def _(context, key):
     first = _order(context, key)[0]
     context.local_servers = [
-        one._replace(incarnation=2) if one.server_id == first else one
-        for one in context.local_servers
+        server._replace(incarnation=2) if server.server_id == first else server
+        for server in context.local_servers
     ]
-    _meet_first(context, key)
+    _use_first(context, key)
 
 
-@when("the other entries tell what they learned")
+@when("the other entries report their silent servers")
 def _(context):
     now = context.local_now
-    for name, other in context.local_others.items():
+    for name, other in context.local_other_entries.items():
         context.local_chooser.record_silent(name, other.silent_keys(now), now)
 
 
 @when('{count:d} requests for object "{key}" are placed and answered locally')
 def _(context, count, key):
     current = server_stats.ServerStatsTable.current
-    context.local_looked_at = set()
+    context.local_examined = set()
 
     def current_recorded(table, server, now):
-        context.local_looked_at.add(server.server_id)
+        context.local_examined.add(server.server_id)
         return current(table, server, now)
 
     with mock.patch.object(
         server_stats.ServerStatsTable, "current", current_recorded
     ):
         for _ in range(count):
-            _meet_first(context, key)
+            _use_first(context, key)
 
 
-@then("at most {most:d} servers were looked at for each")
+@then("at most {most:d} servers were examined")
 def _(context, most):
-    assert len(context.local_looked_at) <= most, context.local_looked_at
+    assert len(context.local_examined) <= most, context.local_examined
--- a/tests/steps/core/balancing/reopened_steps.py
+++ b/tests/steps/core/balancing/reopened_steps.py
@@ -21,25 +21,27 @@
     " {seconds:g} s, all warm"
 )
 def _(context, one, other, domain, seconds):
-    context.known = directory.Directory(1e9)
+    context.directory = directory.Directory(1e9)
     context.domain, context.warm_up_s = domain, seconds
     for name in (one, other):
-        context.known.servers.update(name, _server(name, domain), 0.0)
-    context.reopened = reopened.ReopenedDomains(context.known)
+        context.directory.servers.update(name, _server(name, domain), 0.0)
+    context.reopened = reopened.ReopenedDomains(context.directory)
 
 
-@when('"{domain}" is evacuated at {start:g} s and gets work again at {end:g} s')
+@when('"{domain}" is evacuated at {start:g} s and is reopened at {end:g} s')
 def _(context, domain, start, end):
     assert context.reopened.update((domain,), start) == ()
     assert context.reopened.update((), end) == (domain,)
 
 
-@when('server "{name}" says at {at:g} s that it stays cold for {seconds:g} s')
+@when(
+    'server "{name}" announces at {at:g} s that it stays cold for {seconds:g} s'
+)
 def _(context, name, at, seconds):
-    context.known.note_cold(_server(name, context.domain, seconds), at)
+    context.directory.note_cold(_server(name, context.domain, seconds), at)
 
 
-@then('server "{name}" is taken for {state} at {at:g} s')
+@then('server "{name}" is treated as {state} at {at:g} s')
 def _(context, name, state, at):
-    found = context.reopened.is_cold(name, context.warm_up_s, at)
-    assert found == (state == "cold"), (name, at)
+    is_cold = context.reopened.is_cold(name, context.warm_up_s, at)
+    assert is_cold == (state == "cold"), (name, at)
--- a/tests/steps/core/balancing/soonest_steps.py
+++ b/tests/steps/core/balancing/soonest_steps.py
@@ -37,21 +37,21 @@
 
 
 def _nth(context, key, number):
-    ids = [one.server_id for one in context.soonest_servers]
+    ids = [server.server_id for server in context.soonest_servers]
     return affinity.rank_unweighted(key, ids)[number]
 
 
-def _only(context, name):
-    """Return all servers but one, to be avoided."""
+def _all_but(context, server_id):
+    """Return the ids of all other servers, which are to be avoided."""
     return tuple(
-        one.server_id
-        for one in context.soonest_servers
-        if one.server_id != name
+        server.server_id
+        for server in context.soonest_servers
+        if server.server_id != server_id
     )
 
 
 def _answer(context, req, took_s, load=None):
-    """Let a request be sent and answered after a time."""
+    """Place a request and record its answer after `took_s` seconds."""
     chooser = context.soonest_chooser
     grant = chooser.choose(req, _view(context))
     done = messages.Done("answered", took_s, load=load)
@@ -65,43 +65,46 @@
     context.soonest_chooser = local.Chooser("e1", "dakar")
 
 
-def _taught(context, kind, known_s, new_s):
+def _record_answers(context, kind, cached_s, uncached_s):
     for number in range(40):
-        for took_s in (new_s, *[known_s] * 9):
+        for took_s in (uncached_s, *[cached_s] * 9):
             _answer(context, _request(kind, f"o{number}", 1.0), took_s)
 
 
 @given(
-    "bookings take {known_s:g} s where they are known and {new_s:g} s elsewhere"
+    "bookings take {cached_s:g} s with the object cached and {uncached_s:g} s"
+    " elsewhere"
 )
-def _(context, known_s, new_s):
-    _taught(context, "booking", known_s, new_s)
+def _(context, cached_s, uncached_s):
+    _record_answers(context, "booking", cached_s, uncached_s)
 
 
 @given(
-    "checks take {known_s:g} s where they are known and {new_s:g} s elsewhere"
+    "checks take {cached_s:g} s with the object cached and {uncached_s:g} s"
+    " elsewhere"
 )
-def _(context, known_s, new_s):
-    _taught(context, "check", known_s, new_s)
+def _(context, cached_s, uncached_s):
+    _record_answers(context, "check", cached_s, uncached_s)
 
 
 @given(
-    "searches take {known_s:g} s where they are known and {new_s:g} s elsewhere"
+    "searches take {cached_s:g} s with the object cached and {uncached_s:g} s"
+    " elsewhere"
 )
-def _(context, known_s, new_s):
-    _taught(context, "search", known_s, new_s)
+def _(context, cached_s, uncached_s):
+    _record_answers(context, "search", cached_s, uncached_s)
 
 
 @given('"{key}" was last answered by the second server')
 def _(context, key):
     context.soonest_second = _nth(context, f"book {key}", 1)
     context.soonest_first = _nth(context, f"book {key}", 0)
-    avoid = _only(context, context.soonest_second)
+    avoid = _all_but(context, context.soonest_second)
     _answer(context, _request("booking", key, 1.0, avoid), 0.35)
 
 
-def _load(context, name, count):
-    avoid = _only(context, name)
+def _report_load(context, server_id, count):
+    avoid = _all_but(context, server_id)
     slots = context.soonest_servers[0].slots
     load = messages.Load(min(slots, count), max(0, count - slots), slots)
     _answer(context, _request("search", "any", 0.25, avoid), 0.1, load)
@@ -109,27 +112,27 @@
 
 @given("the second server has {count:d} requests")
 def _(context, count):
-    _load(context, context.soonest_second, count)
+    _report_load(context, context.soonest_second, count)
 
 
 @given("the first server has {count:d} requests")
 def _(context, count):
-    _load(context, context.soonest_first, count)
+    _report_load(context, context.soonest_first, count)
 
 
 @given("all servers have {count:d} requests")
 def _(context, count):
-    for one in context.soonest_servers:
-        _load(context, one.server_id, count)
+    for server in context.soonest_servers:
+        _report_load(context, server.server_id, count)
 
 
-@given("the second server started again")
+@given("the second server restarted")
 def _(context):
     context.soonest_servers = [
-        one._replace(incarnation=2)
-        if one.server_id == context.soonest_second
-        else one
-        for one in context.soonest_servers
+        server._replace(incarnation=2)
+        if server.server_id == context.soonest_second
+        else server
+        for server in context.soonest_servers
     ]
 
 
@@ -148,7 +151,7 @@
     context.soonest = context.soonest_chooser.choose(req, _view(context))
 
 
-@then("it is refused, to come back after {least:g} to {most:g} s")
+@then("it is refused, with a retry after {least:g} to {most:g} s")
 def _(context, least, most):
     assert isinstance(context.soonest, messages.Refused), context.soonest
     assert least <= context.soonest.retry_after_s <= most, context.soonest
@@ -156,8 +159,8 @@
 
 @then("it goes to the {which} server, expected within {most:g} s")
 def _(context, which, most):
-    wanted = getattr(context, f"soonest_{which}")
-    assert context.soonest.server.server_id == wanted, context.soonest
+    expected = getattr(context, f"soonest_{which}")
+    assert context.soonest.server.server_id == expected, context.soonest
     assert context.soonest.expected_s <= most, context.soonest
 
 
@@ -171,7 +174,10 @@
     assert isinstance(context.soonest, messages.Grant), context.soonest
 
 
-@when("{count:d} bookings of known objects take {took_s:g} s behind others")
+@when(
+    "{count:d} bookings of cached objects take {took_s:g} s at servers with a"
+    " queue"
+)
 def _(context, count, took_s):
     load = messages.Load(5, 9, 5)
     for number in range(count):
@@ -183,7 +189,7 @@
         )
 
 
-@when("{count:d} bookings of known objects take {took_s:g} s")
+@when("{count:d} bookings of cached objects take {took_s:g} s")
 def _(context, count, took_s):
     for number in range(count):
         _answer(context, _request("booking", f"o{number % 40}", 1.0), took_s)
@@ -192,21 +198,21 @@
 @then("a booking is still expected to take {least:g} to {most:g} s")
 def _(context, least, most):
     kind = estimates.RequestKind("book", "dakar")
-    held = context.soonest_chooser._estimates
-    got = held.run_s(kind, 1.0, is_cached=True)
-    assert least <= got <= most, got
+    estimated = context.soonest_chooser._estimates
+    run_s = estimated.run_s(kind, 1.0, is_cached=True)
+    assert least <= run_s <= most, run_s
 
 
 @when("{count:d} objects are answered by {servers:d} servers each")
 def _(context, count, servers):
-    context.held = object_locations.ObjectLocations()
+    context.locations = object_locations.ObjectLocations()
     for number in range(count):
         for server in range(servers):
-            context.held.record(f"o{number}", (f"s{server}", 1), _NOW)
+            context.locations.record(f"o{number}", (f"s{server}", 1), _NOW)
 
 
-@then("at most {objects:d} objects with {servers:d} servers each are kept")
+@then("at most {objects:d} objects with {servers:d} servers each are tracked")
 def _(context, objects, servers):
-    kept = context.held._answered
-    assert len(kept) <= objects, len(kept)
-    assert all(len(held) <= servers for held in kept.values())
+    tracked = context.locations._answered
+    assert len(tracked) <= objects, len(tracked)
+    assert all(len(servers_of) <= servers for servers_of in tracked.values())
