--- a/tests/core/admission/queue.feature
+++ b/tests/core/admission/queue.feature
@@ -1,25 +1,24 @@
 Feature: the queue for slots
-  A payment and a catalogue page wait for a slot. If the page came first and
-  went first, the customer at the counter would wait behind a browser; and one
-  that cannot be served in time is better told so now than later.
+  Guards against urgent requests that wait behind less urgent ones, and against
+  queueing requests that can't be served in time and should be refused at once.
 
-  Scenario: the lower priority number goes first, then the one that ends first
+  Scenario: items are served by lower priority number, then by earlier deadline
     Given a queue where "page" waits at priority 4 until 5 s
     And "late payment" waits at priority 1 until 9 s
     And "payment" waits at priority 1 until 4 s
     Then the queue serves "payment", "late payment", "page"
 
-  Scenario: what would wait too long is not let in
-    Given a queue where a slot came free each 0.5 s
+  Scenario: an item that would wait too long is not accepted
+    Given a queue with a slot freed every 0.5 s
     And "one" waits at priority 1 until 20 s
-    Then "two" at priority 1 within 0.9 s is not let in
-    But "two" at priority 0 within 0.9 s is let in
+    Then "two" at priority 1 within 0.9 s is not accepted
+    But "two" at priority 0 within 0.9 s is accepted
 
-  Scenario: when no slot comes free any more the wait grows
-    Given a queue where a slot came free each 0.01 s
+  Scenario: the expected wait grows while no slot is freed
+    Given a queue with a slot freed every 0.01 s
     When 3 s pass in the queue without a free slot
-    Then "one" at priority 1 within 1 s is not let in
+    Then "one" at priority 1 within 1 s is not accepted
 
-  Scenario: what has waited too long is given up
+  Scenario: an item whose deadline has passed is removed
     Given a queue where "page" waits at priority 4 until 5 s
-    Then at 5 s "page" has waited too long
+    Then at 5 s "page" has expired
--- a/tests/core/attempts/attempt.feature
+++ b/tests/core/attempts/attempt.feature
@@ -1,9 +1,9 @@
 Feature: the attempts of one request
-  A student pays; the server dies before it answers. If the payment were sent
-  to a second server, it could be taken twice. It goes out again only when it
-  is certain that it did not run, and only then is she told so.
+  Guards against running a request twice that is not repeatable, such as a
+  payment whose server crashes before it answers. It is sent again, or refused
+  as not run, only if it is certain that it did not run.
 
-  Scenario Outline: <sent> and repeatable <repeatable>
+  Scenario Outline: an attempt that was <sent>, repeatable <repeatable>
     When an attempt that was <sent> is lost, repeatable <repeatable>
     Then the attempts' next step is <step>
 
@@ -16,30 +16,34 @@
       | crossed         | no         | refuse unknown |
       | unframed        | no         | refuse unknown |
 
-  Scenario: what an earlier attempt may have done is not forgotten
-    A read-only row is deleted. The first server dies after it was sent, the
-    second refuses with not-run. Only the second is certain not to have run.
+  Scenario: the outcome takes all attempts into account
+    The first server crashes after the request was sent, the second one refuses
+    with not-run. Only the second attempt is certain not to have run.
+
     When an attempt is lost after sending and the next is refused as not run
     Then the attempts' refusal says unknown
 
-  Scenario: servers that are slow for all get no threefold load
+  Scenario: retries are limited when all attempts fail
     When 100 requests in a row lose each attempt
     Then the attempts' retries are at most 20
 
-  Scenario: a server that takes no connection costs no retry
-    A zone's servers die. Each request that tried one of them took a retry of
-    the budget; soon the others were refused though no server had seen them.
-    When an attempt finds no connection and the budget is spent
+  Scenario: an attempt without a connection takes no retry from the budget
+    Guards against a budget exhausted by attempts at the servers of a failed
+    failure domain: further requests would be refused although no server had
+    received them.
+
+    When an attempt gets no connection and the budget is spent
     Then the attempts ask for another server
     When an attempt was refused by its server and the budget is spent
     Then the attempts' refusal says not-run
 
   Scenario: a long upload is not cut by the deadline
-    A book of 2 GB takes minutes to upload, the deadline is 20 s. The time
-    counts from the last byte, or no book could ever be uploaded.
+    An upload of 2 GB takes minutes, and the deadline is 20 s. The deadline
+    must count from the last byte of the request.
+
     When an upload takes 600 s under a limit of 20 s
-    Then the attempts wait 20 s from its end for the answer
+    Then the attempts wait 20 s for the answer after the upload
 
-  Scenario: no order of events breaks a promise
+  Scenario: no order of events violates a guarantee
     When random events drive the attempts of many requests
-    Then the attempts kept each promise
+    Then the attempts kept all guarantees
--- a/tests/core/orders/orders.feature
+++ b/tests/core/orders/orders.feature
@@ -1,14 +1,14 @@
-Feature: orders of operators under versions of their own
-  Two operators edit version 5 at once and both call theirs version 7. Were
-  both accepted, each would believe its routes in force. A zone that one of
-  them evacuated must stay evacuated through any edit of the tables.
+Feature: orders of operators, who choose the versions
+  Guards against accepting two concurrent edits of one version under the same
+  new version: each operator would assume its own routes in force. A failure
+  domain that was evacuated must stay evacuated through any edit of the tables.
 
-  Scenario: of two edits on one version the second is refused
+  Scenario: the second of two edits based on one version is refused
     Given ordered tables at version 5
     When an order puts version 7 on base 5 with route "ana"
     And an order puts version 7 on base 5 with route "bea"
     Then the last order is refused as a conflict with version 7
-    And the ordered route is "ana"
+    And the route in force is "ana"
 
   Scenario Outline: a version that is not above the one in force is invalid
     Given ordered tables at version 5
@@ -20,11 +20,11 @@
       | 5       |
       | 4       |
 
-  Scenario: an evacuation outlives edits and ends only by its own order
+  Scenario: an evacuation persists through edits and ends only by its own order
     Given ordered tables at version 5
     When an order evacuates "dar-1"
     And an order puts version 6 on base 5 with route "ana"
-    Then "dar-1" is evacuated by order
+    Then "dar-1" is evacuated in the state
     When an order evacuates "dar-1"
     And an order ends the evacuation of "dar-1"
-    Then nothing is evacuated by order
+    Then nothing is evacuated in the state
--- a/tests/steps/core/admission/queue_steps.py
+++ b/tests/steps/core/admission/queue_steps.py
@@ -8,27 +8,27 @@
 
 
 def _queue(context):
-    if not hasattr(context, "waiting"):
-        context.waiting = queue.Queue()
+    if not hasattr(context, "queue"):
+        context.queue = queue.Queue()
         context.now = 0.0
-    return context.waiting
+    return context.queue
 
 
 @given(
-    'a queue where "{item}" waits at priority {priority:d} until {until:g} s'
+    'a queue where "{item}" waits at priority {priority:d} until {wait_s:g} s'
 )
-@given('"{item}" waits at priority {priority:d} until {until:g} s')
-def _(context, item, priority, until):
-    waiting = _queue(context)
-    assert waiting.push(item, priority, context.now + until, context.now)
+@given('"{item}" waits at priority {priority:d} until {wait_s:g} s')
+def _(context, item, priority, wait_s):
+    slot_queue = _queue(context)
+    assert slot_queue.push(item, priority, context.now + wait_s, context.now)
 
 
-@given("a queue where a slot came free each {seconds:g} s")
+@given("a queue with a slot freed every {seconds:g} s")
 def _(context, seconds):
-    waiting = _queue(context)
+    slot_queue = _queue(context)
     for _ in range(200):
         context.now += seconds
-        waiting.record_free(context.now)
+        slot_queue.record_free(context.now)
 
 
 @when("{seconds:d} s pass in the queue without a free slot")
@@ -38,25 +38,25 @@
 
 @then('the queue serves "{one}", "{two}", "{three}"')
 def _(context, one, two, three):
-    served = [context.waiting.pop() for _ in range(3)]
+    served = [context.queue.pop() for _ in range(3)]
     assert served == [one, two, three], served
-    assert context.waiting.pop() is None
+    assert context.queue.pop() is None
 
 
-@then('"{item}" at priority {priority:d} within {seconds:g} s is not let in')
+@then('"{item}" at priority {priority:d} within {seconds:g} s is not accepted')
 def _(context, item, priority, seconds):
-    until = context.now + seconds
-    assert not context.waiting.push(item, priority, until, context.now)
+    deadline = context.now + seconds
+    assert not context.queue.push(item, priority, deadline, context.now)
 
 
-@then('"{item}" at priority {priority:d} within {seconds:g} s is let in')
+@then('"{item}" at priority {priority:d} within {seconds:g} s is accepted')
 def _(context, item, priority, seconds):
-    until = context.now + seconds
-    assert context.waiting.push(item, priority, until, context.now)
+    deadline = context.now + seconds
+    assert context.queue.push(item, priority, deadline, context.now)
 
 
-@then('at {seconds:g} s "{item}" has waited too long')
+@then('at {seconds:g} s "{item}" has expired')
 def _(context, seconds, item):
-    assert context.waiting.pop_expired(seconds - 0.1) == []
-    assert context.waiting.pop_expired(seconds) == [item]
-    assert len(context.waiting) == 0
+    assert context.queue.pop_expired(seconds - 0.1) == []
+    assert context.queue.pop_expired(seconds) == [item]
+    assert len(context.queue) == 0
--- a/tests/steps/core/attempts/attempt_steps.py
+++ b/tests/steps/core/attempts/attempt_steps.py
@@ -12,7 +12,7 @@
 
 _LOST = messages.Lost("reset")
 _SHED = messages.AnswerBegan(503, "r", True, True)
-_ENDS = {
+_EVENTS = {
     "not-sent": (_LOST,),
     "refused-not-run": (messages.BytesSent(), _SHED),
     "maybe-sent": (messages.BytesSent(), _LOST),
@@ -21,9 +21,9 @@
 }
 
 
-def _begin(repeatable=False, limit_s=20.0, left=None, has_body=False):
+def _begin(repeatable=False, limit_s=20.0, retries=None, has_body=False):
     request = messages.Request("r", repeatable, has_body, limit_s)
-    machine = attempt.Attempts(request, left or budget.RetryBudget())
+    machine = attempt.Attempts(request, retries or budget.RetryBudget())
     machine.handle(messages.Started(), 0.0)
     machine.handle(messages.Granted("s1"), 0.0)
     return machine
@@ -32,18 +32,18 @@
 @when("an attempt that was {sent} is lost, repeatable {repeatable}")
 def _(context, sent, repeatable):
     machine = _begin(repeatable == "yes")
-    for event in _ENDS[sent]:
+    for event in _EVENTS[sent]:
         context.effects = machine.handle(event, 1.0)
 
 
 @then("the attempts' next step is {step}")
 def _(context, step):
     assert isinstance(context.effects[0], messages.CloseConnection)
-    following = context.effects[1]
+    next_step = context.effects[1]
     if step == "retry":
-        assert following == messages.Acquire(("s1",), 20.0), following
+        assert next_step == messages.Acquire(("s1",), 20.0), next_step
     else:
-        assert following.outcome.value == step.split()[1], following
+        assert next_step.outcome.value == step.split()[1], next_step
 
 
 @when("an attempt is lost after sending and the next is refused as not run")
@@ -64,10 +64,10 @@
 
 @when("{count:d} requests in a row lose each attempt")
 def _(context, count):
-    left = budget.RetryBudget()
+    retries = budget.RetryBudget()
     context.retries = 0
     for _ in range(count):
-        machine = _begin(repeatable=True, left=left)
+        machine = _begin(repeatable=True, retries=retries)
         number = 1
         while machine.phase is not attempt.Phase.DONE:
             machine.handle(messages.BytesSent(), 0.1)
@@ -92,7 +92,7 @@
     context.effects = machine.handle(messages.BodySent(), float(took))
 
 
-@then("the attempts wait {limit:d} s from its end for the answer")
+@then("the attempts wait {limit:d} s for the answer after the upload")
 def _(context, limit):
     assert context.began == (messages.AnswerBy(math.inf),), context.began
     by = float(context.took + limit)
@@ -104,26 +104,26 @@
     context.machines = attempts_machine.run()
 
 
-@then("the attempts kept each promise")
+@then("the attempts kept all guarantees")
 def _(context):
     assert context.machines > 0
 
 
-def _spent():
-    left = budget.RetryBudget()
-    left.left = 0.0
-    return left
+def _spent_budget():
+    spent = budget.RetryBudget()
+    spent.left = 0.0
+    return spent
 
 
-@when("an attempt finds no connection and the budget is spent")
+@when("an attempt gets no connection and the budget is spent")
 def _(context):
-    machine = _begin(left=_spent())
+    machine = _begin(retries=_spent_budget())
     context.effects = machine.handle(messages.Lost("connect"), 0.3)
 
 
 @when("an attempt was refused by its server and the budget is spent")
 def _(context):
-    machine = _begin(left=_spent())
+    machine = _begin(retries=_spent_budget())
     machine.handle(messages.BytesSent(), 0.1)
     context.effects = machine.handle(_SHED, 0.2)
 
@@ -135,5 +135,7 @@
 
 @then("the attempts' refusal says not-run")
 def _(context):
-    refusals = [one for one in context.effects if hasattr(one, "outcome")]
+    refusals = [
+        effect for effect in context.effects if hasattr(effect, "outcome")
+    ]
     assert refusals[0].outcome is messages.Outcome.NOT_RUN, context.effects
--- a/tests/steps/core/attempts/budget_steps.py
+++ b/tests/steps/core/attempts/budget_steps.py
@@ -31,25 +31,25 @@
         assert context.budget.spend(), number
 
 
-@then("the next one is not")
+@then("one more retry is not allowed")
 def _(context):
     assert not context.budget.spend()
 
 
 @then(
-    "in {runs:d} random runs of {entries:d} entries no 10 s see more retries"
+    "in {runs:d} random runs of {entries:d} entries no 10 s have more retries"
     " than a fifth of the requests and the reserves"
 )
 def _(context, runs, entries):
     for seed in range(runs):
         rng = random.Random(seed)
         reserve = 82 / entries
-        held = [budget.RetryBudget(0.1, reserve) for _ in range(entries)]
-        requests, retries = _play(rng, held)
+        budgets = [budget.RetryBudget(0.1, reserve) for _ in range(entries)]
+        requests, retries = _play(rng, budgets)
         _check(requests, retries, reserve * entries, seed)
 
 
-def _play(rng, held):
+def _play(rng, budgets):
     """Return the requests and retries of each second."""
     requests, retries = [0] * _RUN_S, [0] * _RUN_S
     failing = 0.0
@@ -57,19 +57,19 @@
         if second % 5 == 0:
             failing = rng.choice((0.0, 0.0, 0.1, 1.0))
         for _ in range(rng.choice((20, 300, 900))):
-            one = rng.choice(held)
-            one.earn(second + 0.5)
+            entry_budget = rng.choice(budgets)
+            entry_budget.earn(second + 0.5)
             requests[second] += 1
             if rng.random() < failing:
-                retries[second] += one.spend()
+                retries[second] += entry_budget.spend()
     return requests, retries
 
 
 def _check(requests, retries, reserve, seed):
     for end in range(_WINDOW_S, _RUN_S):
         begin = end - _WINDOW_S
-        spent = sum(retries[begin:end])
-        asked = sum(requests[begin:end])
+        retried = sum(retries[begin:end])
+        requested = sum(requests[begin:end])
         before = sum(requests[max(0, begin - _WINDOW_S) : begin])
-        allowed = 0.2 * max(asked, before) + reserve
-        assert spent <= allowed, (seed, end, spent, allowed)
+        allowed = 0.2 * max(requested, before) + reserve
+        assert retried <= allowed, (seed, end, retried, allowed)
--- a/tests/steps/core/attempts/quarantine_steps.py
+++ b/tests/steps/core/attempts/quarantine_steps.py
@@ -16,70 +16,74 @@
 
 @given('a quarantine at entry "{name}"')
 def _(context, name):
-    _start(context, [name])
+    _create(context, [name])
 
 
-@given("quarantines at {count:d} entries that know the same")
+@given("quarantines at {count:d} entries that exchange reports")
 def _(context, count):
-    _start(context, [f"e{number}" for number in range(count)])
+    _create(context, [f"e{number}" for number in range(count)])
 
 
-def _start(context, names):
+def _create(context, names):
     context.now = 100.0
     context.names = names
-    context.tables = [quarantine.Quarantine(name) for name in names]
-    context.lives = itertools.count()
+    context.quarantines = [quarantine.Quarantine(name) for name in names]
+    context.keys = itertools.count()
     context.attempts = itertools.count()
 
 
 def _share(context):
-    for one, other in itertools.permutations(context.tables, 2):
-        other.merge(one.shared(context.now), context.now)
+    for sender, receiver in itertools.permutations(context.quarantines, 2):
+        receiver.merge(sender.shared(context.now), context.now)
 
 
 @when('{count:d} servers crash under request "{name}"')
 def _(context, count, name):
     for _ in range(count):
-        life = next(context.lives)
-        context.tables[0].record_crash(_fingerprint(name), life, context.now)
+        key = next(context.keys)
+        context.quarantines[0].record_crash(
+            _fingerprint(name), key, context.now
+        )
     _share(context)
 
 
-@when('server {life:d} crashes under request "{name}" {times:d} times')
-def _(context, life, name, times):
+@when('server {key:d} crashes under request "{name}" {times:d} times')
+def _(context, key, name, times):
     for _ in range(times):
-        context.tables[0].record_crash(_fingerprint(name), life, context.now)
+        context.quarantines[0].record_crash(
+            _fingerprint(name), key, context.now
+        )
 
 
 @when("one server crashes under {count:d} other requests")
 def _(context, count):
     for number in range(count):
         fingerprint = _fingerprint(str(number))
-        context.tables[0].record_crash(fingerprint, 1, context.now)
+        context.quarantines[0].record_crash(fingerprint, 1, context.now)
 
 
 @when('request "{name}" is answered')
 def _(context, name):
-    context.tables[0].record_answer(_fingerprint(name), context.now)
+    context.quarantines[0].record_answer(_fingerprint(name), context.now)
     _share(context)
 
 
-@when("{seconds:g} s go by")
+@when("{seconds:g} s pass for the quarantine")
 def _(context, seconds):
     context.now += seconds
 
 
-@when("what is old is forgotten")
+@when("expired records are dropped")
 def _(context):
-    context.tables[0].expire(context.now)
+    context.quarantines[0].expire(context.now)
 
 
-def _sending(context, name):
+def _permitting(context, name):
     """Return the entries that would send a request now."""
     return [
-        table
-        for table in context.tables
-        if table.may_run(
+        instance
+        for instance in context.quarantines
+        if instance.may_run(
             _fingerprint(name),
             f"attempt {next(context.attempts)}",
             context.names,
@@ -90,37 +94,37 @@
 
 @then('request "{name}" may run')
 def _(context, name):
-    assert _sending(context, name)
+    assert _permitting(context, name)
 
 
-@then('request "{name}" is held back')
+@then('request "{name}" is quarantined')
 def _(context, name):
-    assert not _sending(context, name)
-    assert context.tables[0].has_head(
+    assert not _permitting(context, name)
+    assert context.quarantines[0].has_head(
         _fingerprint(name)[: quarantine.HEAD_BYTES]
     )
 
 
 @then('no entry sends request "{name}"')
 def _(context, name):
-    assert not _sending(context, name)
+    assert not _permitting(context, name)
 
 
 @then('one entry sends request "{name}", once')
 def _(context, name):
-    (context.trying,) = _sending(context, name)
-    assert not _sending(context, name)
+    (context.trying,) = _permitting(context, name)
+    assert not _permitting(context, name)
 
 
 @then('all entries send request "{name}"')
 def _(context, name):
-    assert len(_sending(context, name)) == len(context.tables)
+    assert len(_permitting(context, name)) == len(context.quarantines)
 
 
 @when("a server crashes under that trial")
 def _(context):
-    life = next(context.lives)
-    assert context.trying.record_crash(_fingerprint("a"), life, context.now)
+    key = next(context.keys)
+    assert context.trying.record_crash(_fingerprint("a"), key, context.now)
     _share(context)
 
 
@@ -130,9 +134,9 @@
     _share(context)
 
 
-@then("at most {most:d} requests are known")
+@then("at most {most:d} requests are recorded")
 def _(context, most):
-    assert len(context.tables[0]) <= most, len(context.tables[0])
+    assert len(context.quarantines[0]) <= most, len(context.quarantines[0])
 
 
 @given("{count:d} random histories at {instances:d} instances")
@@ -143,37 +147,43 @@
 
 
 def _history(rng, instances):
-    """Return instances after crashes, answers, and reports as they came."""
-    tables = [quarantine.Quarantine(f"i{one}") for one in range(instances)]
-    on_the_way = []
+    """Return instances after random crashes, answers and delayed reports."""
+    quarantines = [
+        quarantine.Quarantine(f"i{number}") for number in range(instances)
+    ]
+    delayed = []
     now = 0.0
     for _ in range(60):
         now += rng.random()
-        table = rng.choice(tables)
+        instance = rng.choice(quarantines)
         fingerprint = _fingerprint(rng.choice("abc"))
         match rng.randrange(4):
             case 0:
-                table.record_crash(fingerprint, rng.randrange(12), now)
+                instance.record_crash(fingerprint, rng.randrange(12), now)
             case 1:
                 if rng.random() < 0.3:
-                    table.record_answer(fingerprint, now)
+                    instance.record_answer(fingerprint, now)
             case 2:
-                on_the_way.append(table.report(fingerprint, now))
-            case 3 if on_the_way:
-                table.merge([rng.choice(on_the_way)], now)
-    return tables, now
+                delayed.append(instance.report(fingerprint, now))
+            case 3 if delayed:
+                instance.merge([rng.choice(delayed)], now)
+    return quarantines, now
 
 
-@then("all agree once each has heard of all")
+@then("all agree once they have exchanged all reports")
 def _(context):
-    for tables, now in context.histories:
+    for quarantines, now in context.histories:
         for _ in range(2):
-            for one, other in itertools.permutations(tables, 2):
-                reports = [one.report(_fingerprint(key), now) for key in "abc"]
-                other.merge(reports, now)
-        assert len({table.digest for table in tables}) == 1
-        for key in "abc":
-            counts = {table.crashes(_fingerprint(key)) for table in tables}
+            for sender, receiver in itertools.permutations(quarantines, 2):
+                reports = [
+                    sender.report(_fingerprint(name), now) for name in "abc"
+                ]
+                receiver.merge(reports, now)
+        assert len({instance.digest for instance in quarantines}) == 1
+        for name in "abc":
+            counts = {
+                instance.crashes(_fingerprint(name)) for instance in quarantines
+            }
             assert len(counts) == 1, counts
 
 
@@ -181,15 +191,15 @@
     'one entry sends request "{name}", once, also when that attempt asks again'
 )
 def _(context, name):
-    asked = [
+    permitted = [
         number
-        for table in context.tables
+        for instance in context.quarantines
         for number in (1, 1, 2)
-        if table.may_run(
+        if instance.may_run(
             _fingerprint(name),
             f"attempt {number}",
             context.names,
             context.now,
         )
     ]
-    assert asked == [1, 1], asked
+    assert permitted == [1, 1], permitted
--- a/tests/steps/core/draining/stop_steps.py
+++ b/tests/steps/core/draining/stop_steps.py
@@ -7,20 +7,20 @@
 
 
 @given(
-    "a stop asked at {asked:g} with {ttl:g} s of look-ups, {spread:g} s to"
-    " spread, {most:g} s at most"
+    "a stop begun at {begin:g} with {ttl:g} s of look-ups, {propagation:g} s to"
+    " propagate, {most:g} s at most"
 )
-def _(context, asked, ttl, spread, most):
-    context.stop = stop.Stop(ttl, spread, most)
-    context.stop.begin(asked)
+def _(context, begin, ttl, propagation, most):
+    context.stop = stop.Stop(ttl, propagation, most)
+    context.stop.begin(begin)
 
 
 @then("the stop at {now:g} with {count:d} connections is {phase}")
 def _(context, now, count, phase):
-    found = context.stop.tick(stop.Observed(count, count), now)
-    assert found.value == phase, found
+    reached = context.stop.tick(stop.Observed(count, count), now)
+    assert reached.value == phase, reached
 
 
-@then("the stop has cut {count:d}")
+@then("the stop has cut {count:d} requests")
 def _(context, count):
     assert context.stop.cut_requests == count, context.stop.cut_requests
--- a/tests/steps/core/orders/orders_steps.py
+++ b/tests/steps/core/orders/orders_steps.py
@@ -18,7 +18,7 @@
     return orders.Document((), tables.parse(text))
 
 
-def _order(context, order):
+def _apply(context, order):
     context.order_error = None
     try:
         context.ordered = orders.apply(order, context.ordered, 0.0)
@@ -34,17 +34,17 @@
 
 @when('an order puts version {version:d} on base {base:d} with route "{name}"')
 def _(context, version, base, name):
-    _order(context, orders.Edit(base, version, lambda _: _document(name)))
+    _apply(context, orders.Edit(base, version, lambda _: _document(name)))
 
 
 @when('an order evacuates "{domain}"')
 def _(context, domain):
-    _order(context, orders.Evacuate(domain))
+    _apply(context, orders.Evacuate(domain))
 
 
 @when('an order ends the evacuation of "{domain}"')
 def _(context, domain):
-    _order(context, orders.EndEvacuation(domain))
+    _apply(context, orders.EndEvacuation(domain))
 
 
 @then("the last order is refused as a conflict with version {version:d}")
@@ -58,16 +58,16 @@
     assert isinstance(context.order_error, errors.InvalidDocumentError)
 
 
-@then('the ordered route is "{name}"')
+@then('the route in force is "{name}"')
 def _(context, name):
-    assert [one.name for one in context.ordered.tables.routes] == [name]
+    assert [route.name for route in context.ordered.tables.routes] == [name]
 
 
-@then('"{domain}" is evacuated by order')
+@then('"{domain}" is evacuated in the state')
 def _(context, domain):
     assert context.ordered.evacuated == (domain,)
 
 
-@then("nothing is evacuated by order")
+@then("nothing is evacuated in the state")
 def _(context):
     assert context.ordered.evacuated == ()
--- a/tests/support/attempts_machine.py
+++ b/tests/support/attempts_machine.py
@@ -1,7 +1,7 @@
-"""Random runs over the attempts of a request, against servers that lie in wait.
+"""Random runs of the state machine of a request's attempts.
 
-The model keeps what each fake server really did, which the machine under test
-cannot see, and holds the machine's words against it.
+The model records what each fake server did, which the machine under test cannot
+observe, and compares it with the outcomes that the machine reports.
 """
 
 import os
@@ -22,7 +22,7 @@
 
 
 class Machine(stateful.RuleBasedStateMachine):
-    """One request, driven by any events that its phase allows."""
+    """One request, driven by random events that its phase allows."""
 
     def __init__(self):
         super().__init__()
@@ -38,35 +38,37 @@
     )
     def begin(self, repeatable, has_body, limit_s):
         self.runs = 0
-        self.bytes_seen = False
-        self.told = []
+        self.bytes_sent = False
+        self.outcomes = []
         self.relays = 0
         request = messages.Request("mine", repeatable, has_body, limit_s)
         self.attempts = attempt.Attempts(request, self.budget)
-        self._tell(messages.Started())
+        self._handle(messages.Started())
 
-    def _tell(self, event):
+    def _handle(self, event):
         for effect in self.attempts.handle(event, self.now):
             match effect:
                 case messages.Send():
-                    self.bytes_seen = False
+                    self.bytes_sent = False
                 case messages.Refuse():
-                    self.told.append(effect.outcome)
+                    self.outcomes.append(effect.outcome)
                 case messages.Relay():
                     self.relays += 1
-                    assert self.echoed in ("mine", None), "another's answer"
+                    assert self.echoed in ("mine", None), (
+                        "relayed the answer of another request"
+                    )
                 case messages.Finish():
                     self._check_end(effect)
 
     def _check_end(self, finish):
         request = self.attempts.request
-        if messages.Outcome.NOT_RUN in self.told:
-            assert self.runs == 0, "not-run said of what ran"
+        if messages.Outcome.NOT_RUN in self.outcomes:
+            assert self.runs == 0, "not-run reported but the request ran"
         if not request.repeatable:
-            assert self.runs <= 1, "ran twice"
+            assert self.runs <= 1, "not repeatable but ran twice"
         if finish.outcome == "answered":
-            assert self.relays == 1, "an answer out of nothing"
-        assert len(self.told) + (finish.outcome == "answered") <= 1
+            assert self.relays == 1, "answered without a relayed answer"
+        assert len(self.outcomes) + (finish.outcome == "answered") <= 1
 
     def in_phase(self, *phases):
         phase = self.attempts.phase if self.attempts else None
@@ -80,26 +82,26 @@
     @stateful.rule(server=strategies.sampled_from(SERVERS))
     def grant(self, server):
         if server not in self.attempts.tried:
-            self._tell(messages.Granted(server))
+            self._handle(messages.Granted(server))
 
     @stateful.precondition(lambda self: self.in_phase(_PHASE.ACQUIRING))
     @stateful.rule(draw=strategies.integers(0, 4))
     def no_slot(self, draw):
         if draw == 0:
-            self._tell(messages.NoSlot("no-free-slot", 1.0))
+            self._handle(messages.NoSlot("no-free-slot", 1.0))
 
     @stateful.precondition(lambda self: self.in_phase(_PHASE.SENDING))
     @stateful.rule(
         runs=strategies.booleans(), then=strategies.sampled_from(range(9))
     )
     def send(self, runs, then):
-        """Hand bytes over; the server may run them, and then does `then`."""
-        if not self.bytes_seen:
-            self.bytes_seen = True
-            self._tell(messages.BytesSent())
+        """Send bytes; the server may run the request, and then does `then`."""
+        if not self.bytes_sent:
+            self.bytes_sent = True
+            self._handle(messages.BytesSent())
             if self.attempts.request.has_body:
-                self._tell(messages.BodyBegan())
-                self._tell(messages.BodySent())
+                self._handle(messages.BodyBegan())
+                self._handle(messages.BodySent())
         shed = then == 3
         if runs and not shed:
             self.runs += 1
@@ -115,41 +117,42 @@
         }
         answer = answers.get(then, messages.Lost("silent"))
         self.echoed = getattr(answer, "echoed", None)
-        self._tell(answer)
-        self.bytes_seen = False
+        self._handle(answer)
+        self.bytes_sent = False
 
     @stateful.precondition(lambda self: self.in_phase(_PHASE.SENDING))
     @stateful.rule(drop=strategies.booleans())
     def lose_before_sending(self, drop):
-        if not self.bytes_seen:
+        if not self.bytes_sent:
             if drop:
-                self._tell(messages.BodyDropped())
-            self._tell(messages.Lost("refused"))
+                self._handle(messages.BodyDropped())
+            self._handle(messages.Lost("refused"))
 
     @stateful.precondition(lambda self: self.in_phase(_PHASE.RELAYING))
     @stateful.rule(whole=strategies.booleans())
     def end_answer(self, whole):
-        self._tell(messages.AnswerEnded() if whole else messages.Lost("cut"))
+        self._handle(messages.AnswerEnded() if whole else messages.Lost("cut"))
 
     @stateful.precondition(lambda self: not self.in_phase(None, _PHASE.DONE))
     @stateful.rule(draw=strategies.integers(0, 9))
     def caller_leaves(self, draw):
         if draw == 0:
-            self._tell(messages.CallerGone())
+            self._handle(messages.CallerGone())
 
     @stateful.invariant()
     def answers_at_most_once(self):
         if self.attempts is not None:
             assert self.relays <= 1
-            most = messages.MAX_ATTEMPTS
-            assert self.attempts.counted_attempts <= most
-            assert len(self.attempts.tried) <= most + attempt.EXTRA_ATTEMPTS
+            limit = messages.MAX_ATTEMPTS
+            assert self.attempts.counted_attempts <= limit
+            assert len(self.attempts.tried) <= limit + attempt.EXTRA_ATTEMPTS
 
 
 def run():
-    """Run the machine; return the number of examples asked for.
+    """Run the machine and return the number of examples.
 
-    HYSSOP_SOAK_SEED and HYSSOP_SOAK_STEPS make it long.
+    HYSSOP_SOAK_STEPS sets the number of examples of a long run, and
+    HYSSOP_SOAK_SEED its seed.
     """
     soak = os.environ.get("HYSSOP_SOAK_STEPS")
     seed = int(os.environ.get("HYSSOP_SOAK_SEED", "0"))
--- a/tests/support/local_entries.py
+++ b/tests/support/local_entries.py
@@ -1,4 +1,4 @@
-"""Entries that choose servers by themselves, wired but not run."""
+"""Entries with local placement, constructed but without running tasks."""
 
 import collections
 import random
@@ -34,17 +34,17 @@
 
 
 class LocalEntries:
-    """Entries with the same tables, and the servers that they know.
+    """Entries with the same tables and the same servers.
 
-    Must be made within a trio run.
+    Must be created within a trio run.
 
     Args:
         count: Number of entries.
-        each: Servers in each failure domain.
-        rate: Requests a second that one bears while it is cold.
+        servers: Servers in each failure domain.
+        rate: Requests a second that a cold server bears.
     """
 
-    def __init__(self, count, each, rate):
+    def __init__(self, count, servers, rate):
         self.state = state.State(tables.parse(TABLES.format(rate=rate)))
         self.revision = 0
         self.sent = collections.defaultdict(list)
@@ -53,7 +53,7 @@
         self._running = collections.deque()
         self.entries = [self._entry(number) for number in range(count)]
         self._introduce()
-        for number in range(each * len(DOMAINS)):
+        for number in range(servers * len(DOMAINS)):
             self._add_server(number)
         self.install(())
 
@@ -65,42 +65,42 @@
         )
 
     def _introduce(self):
-        words = [
-            word._replace(state="ready", sequence=word.sequence + 1)
-            for word in (one.spread.myself for one in self.entries)
+        records = [
+            record._replace(state="ready", sequence=record.sequence + 1)
+            for record in (entry.spread.myself for entry in self.entries)
         ]
-        for one in self.entries:
-            for word in words:
-                one.known.instances.update(word.name, word, 0.0)
+        for entry in self.entries:
+            for record in records:
+                entry.known.instances.update(record.name, record, 0.0)
 
     def _add_server(self, number):
-        word = membership.Server(
+        record = membership.Server(
             f"s{number}", "ledger", f"10.0.0.{number}:80", "dar",
             DOMAINS[number % len(DOMAINS)], 9, 390, "ready", 1, 1, 0.0,
         )  # fmt: skip
-        for one in self.entries:
-            one.known.servers.update(word.server_id, word, 1e9)
+        for entry in self.entries:
+            entry.known.servers.update(record.server_id, record, 1e9)
 
     def install(self, evacuated):
         """Put a revision in force at all entries."""
         self.revision += 1
-        held = self.state._replace(evacuated=evacuated)
-        for one in self.entries:
-            one.config.install(self.revision, state.encode(held))
+        new_state = self.state._replace(evacuated=evacuated)
+        for entry in self.entries:
+            entry.config.install(self.revision, state.encode(new_state))
 
     async def place(self, rate, seconds):
-        """Place requests for objects at random, at one entry after another."""
+        """Place requests for random objects, at the entries in turn."""
         for number in range(round(rate * seconds)):
             await trio.sleep(1 / rate)
             self._end_requests()
             await self._place_one(self.entries[number % len(self.entries)])
 
     async def _place_one(self, entry):
-        held = entry.config.snapshot.held
-        dar = (messages.Region("dar", False),)
+        current = entry.config.snapshot.held
+        home = (messages.Region("dar", False),)
         req = messages.Request(
-            "r", "ledger", regions.allowed(dar, (), held.evacuated), 0, 1e9, (),
-            f"pay {self._rng.randrange(_OBJECTS)}", 0.25, "pay",
+            "r", "ledger", regions.allowed(home, (), current.evacuated), 0,
+            1e9, (), f"pay {self._rng.randrange(_OBJECTS)}", 0.25, "pay",
         )  # fmt: skip
         pool = entry.config.snapshot.tables.pool("ledger")
         grant = await entry.place.acquire(req, pool)
