--- a/tests/steps/core/draining/stop_steps.py
+++ b/tests/steps/core/draining/stop_steps.py
@@ -7,7 +7,7 @@
 
 
 @given(
-    "a stop begun at {begin:g} with {ttl:g} s of look-ups, {propagation:g} s to"
+    "a stop begun at {begin:g}: {ttl:g} s of look-ups, {propagation:g} s to"
     " propagate, {most:g} s at most"
 )
 def _(context, begin, ttl, propagation, most):
