--- a/hyssopfold/core/attempts/attempt.py
+++ b/hyssopfold/core/attempts/attempt.py
@@ -171,7 +171,7 @@
         self._uploading = True
         if self.request.is_absolute:
             return ()
-        return (messages.AnswerBy(math.inf),)
+        return (messages.SetAnswerDeadline(math.inf),)
 
     def body_dropped(self) -> Effects:
         """Record that the body can't be sent again."""
@@ -186,9 +186,9 @@
             return ()
         self._uploading = False
         if self.request.is_absolute:
-            return (messages.AnswerBy(self._deadline),)
+            return (messages.SetAnswerDeadline(self._deadline),)
         self._deadline = max(self._deadline, now + self.request.limit_s)
-        return (messages.AnswerBy(self._deadline),)
+        return (messages.SetAnswerDeadline(self._deadline),)
 
     def answer_began(self, event: messages.AnswerBegan, now: float) -> Effects:
         """Relay the answer, or treat the attempt as failed.
@@ -205,13 +205,13 @@
             if event.misdirected:
                 reason = "another server has the address"
                 self.counted_attempts -= 1
-            return self._failed(reason, now)
+            return self._retry_or_refuse(reason, now)
         fault = _fault(event, is_own)
         if fault:
-            return self._failed(fault, now)
+            return self._retry_or_refuse(fault, now)
         if self._is_worth_retry(event.status, now):
             self._has_retry = True
-            return self._failed(f"status {event.status}", now)
+            return self._retry_or_refuse(f"status {event.status}", now)
         self.phase = Phase.RELAYING
         return (messages.Relay(),)
 
@@ -231,14 +231,14 @@
         self.expect(Phase.RELAYING)
         return self._finish("answered")
 
-    def lost(self, reason: str, now: float) -> Effects:
+    def failed(self, reason: str, now: float) -> Effects:
         """Retry or refuse; reset the caller if the answer has begun."""
         self.expect(Phase.SENDING, Phase.RELAYING)
         if self.phase is Phase.SENDING:
-            return self._failed(reason, now)
+            return self._retry_or_refuse(reason, now)
         self.maybe_ran = True
-        cut = messages.CutCaller(reason)
-        return (messages.CloseConnection(), cut, *self._finish("cut"))
+        reset = messages.ResetCaller(reason)
+        return (messages.CloseConnection(), reset, *self._finish("cut"))
 
     def caller_gone(self) -> Effects:
         """Drop the request; closing the connection to the server cancels it."""
@@ -247,7 +247,7 @@
         finish = self._finish("caller-gone")
         return (messages.CloseConnection(), *finish)
 
-    def _failed(self, reason: str, now: float) -> Effects:
+    def _retry_or_refuse(self, reason: str, now: float) -> Effects:
         self.maybe_ran = self.maybe_ran or self.last_sent is _SENT.MAYBE_SENT
         self.last_reason = reason
         self.phase = Phase.ACQUIRING
@@ -354,8 +354,8 @@
 
 
 @_on.register
-def _(event: messages.Lost, attempts: Attempts, now: float) -> Effects:
-    return attempts.lost(event.reason, now)
+def _(event: messages.AttemptFailed, attempts: Attempts, now: float) -> Effects:
+    return attempts.failed(event.reason, now)
 
 
 @_on.register
--- a/hyssopfold/core/attempts/messages.py
+++ b/hyssopfold/core/attempts/messages.py
@@ -107,7 +107,7 @@
     """The answer is complete."""
 
 
-class Lost(NamedTuple):
+class AttemptFailed(NamedTuple):
     """The attempt failed: connect error, reset, time-out, incomplete answer."""
 
     reason: str
@@ -127,7 +127,7 @@
     | BodySent
     | AnswerBegan
     | AnswerEnded
-    | Lost
+    | AttemptFailed
     | CallerGone
 )
 
@@ -153,7 +153,7 @@
     deadline: float
 
 
-class AnswerBy(NamedTuple):
+class SetAnswerDeadline(NamedTuple):
     """Effect: change the time at which the answer must have begun."""
 
     deadline: float
@@ -176,7 +176,7 @@
     retry_after_s: float
 
 
-class CutCaller(NamedTuple):
+class ResetCaller(NamedTuple):
     """Effect: reset the caller's connection, the answer is incomplete."""
 
     reason: str
@@ -191,10 +191,10 @@
 Effect = (
     Acquire
     | Send
-    | AnswerBy
+    | SetAnswerDeadline
     | Relay
     | CloseConnection
     | Refuse
-    | CutCaller
+    | ResetCaller
     | Finish
 )
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -123,7 +123,7 @@
                 await self._end_attempt("failed")
             case events.Refuse():
                 await self._refuse(effect)
-            case events.CutCaller():
+            case events.ResetCaller():
                 self._exchange.outcome = "cut"
                 raise serving.CutAnswerError(effect.reason)
             case events.Finish():
@@ -227,11 +227,11 @@
                 await self._read_short(server)
         except upstream.LostError as exc:
             self._is_broken = True
-            return events.Lost(str(exc))
+            return events.AttemptFailed(str(exc))
         except exchange_module.BodyTooLargeError:
-            return events.Lost("body too large")
+            return events.AttemptFailed("body too large")
         if self._answering is None or self._answer_by.cancelled_caught:
-            return events.Lost("no answer in time")
+            return events.AttemptFailed("no answer in time")
         return answers.began(exchange, self._answering.answer)
 
     async def _read_short(self, server: membership.Server) -> None:
@@ -260,7 +260,7 @@
 
     def _note(self, event: events.Event) -> None:
         for effect in self._tell(event):
-            if isinstance(effect, events.AnswerBy):
+            if isinstance(effect, events.SetAnswerDeadline):
                 self._answer_by.deadline = effect.deadline
 
     def _pacer(self, server: membership.Server) -> relaying.Pace:
@@ -281,7 +281,7 @@
             await self._relay.run(free)
         except upstream.LostError as exc:
             self._is_broken = True
-            return events.Lost(str(exc))
+            return events.AttemptFailed(str(exc))
         return events.AnswerEnded()
 
     async def _end_attempt(self, kind: str) -> None:
--- a/tests/steps/core/attempts/attempt_steps.py
+++ b/tests/steps/core/attempts/attempt_steps.py
@@ -10,12 +10,12 @@
 from hyssopfold.core.attempts import messages
 from tests.support import attempts_machine
 
-_LOST = messages.Lost("reset")
+_FAILED = messages.AttemptFailed("reset")
 _SHED = messages.AnswerBegan(503, "r", True, True)
 _EVENTS = {
-    "not-sent": (_LOST,),
+    "not-sent": (_FAILED,),
     "refused-not-run": (messages.BytesSent(), _SHED),
-    "maybe-sent": (messages.BytesSent(), _LOST),
+    "maybe-sent": (messages.BytesSent(), _FAILED),
     "crossed": (messages.AnswerBegan(200, "other", False, True),),
     "unframed": (messages.AnswerBegan(200, "r", False, False),),
 }
@@ -50,7 +50,7 @@
 def _(context):
     machine = _begin(repeatable=True)
     machine.handle(messages.BytesSent(), 0.1)
-    machine.handle(_LOST, 0.2)
+    machine.handle(_FAILED, 0.2)
     machine.handle(messages.Granted("s2"), 0.3)
     machine.handle(messages.BytesSent(), 0.4)
     machine.handle(_SHED, 0.5)
@@ -71,7 +71,7 @@
         number = 1
         while machine.phase is not attempt.Phase.DONE:
             machine.handle(messages.BytesSent(), 0.1)
-            machine.handle(_LOST, 0.1)
+            machine.handle(_FAILED, 0.1)
             if machine.phase is attempt.Phase.ACQUIRING:
                 number += 1
                 context.retries += 1
@@ -94,9 +94,11 @@
 
 @then("the attempts wait {limit:d} s for the answer after the upload")
 def _(context, limit):
-    assert context.began == (messages.AnswerBy(math.inf),), context.began
+    assert context.began == (messages.SetAnswerDeadline(math.inf),), (
+        context.began
+    )
     by = float(context.took + limit)
-    assert context.effects == (messages.AnswerBy(by),), context.effects
+    assert context.effects == (messages.SetAnswerDeadline(by),), context.effects
 
 
 @when("random events drive the attempts of many requests")
@@ -118,7 +120,7 @@
 @when("an attempt gets no connection and the budget is spent")
 def _(context):
     machine = _begin(retries=_spent_budget())
-    context.effects = machine.handle(messages.Lost("connect"), 0.3)
+    context.effects = machine.handle(messages.AttemptFailed("connect"), 0.3)
 
 
 @when("an attempt was refused by its server and the budget is spent")
--- a/tests/support/attempts_machine.py
+++ b/tests/support/attempts_machine.py
@@ -106,7 +106,7 @@
         if runs and not shed:
             self.runs += 1
         answers = {
-            0: messages.Lost("reset"),
+            0: messages.AttemptFailed("reset"),
             1: messages.AnswerBegan(200, "mine", False, True),
             2: messages.AnswerBegan(200, "another", False, True),
             3: messages.AnswerBegan(503, "mine", True, True),
@@ -115,7 +115,7 @@
             6: messages.AnswerBegan(503, "another", True, True),
             7: messages.AnswerBegan(101, "mine", False, True),
         }
-        answer = answers.get(then, messages.Lost("silent"))
+        answer = answers.get(then, messages.AttemptFailed("silent"))
         self.echoed = getattr(answer, "echoed", None)
         self._handle(answer)
         self.bytes_sent = False
@@ -126,12 +126,14 @@
         if not self.bytes_sent:
             if drop:
                 self._handle(messages.BodyDropped())
-            self._handle(messages.Lost("refused"))
+            self._handle(messages.AttemptFailed("refused"))
 
     @stateful.precondition(lambda self: self.in_phase(_PHASE.RELAYING))
     @stateful.rule(whole=strategies.booleans())
     def end_answer(self, whole):
-        self._handle(messages.AnswerEnded() if whole else messages.Lost("cut"))
+        self._handle(
+            messages.AnswerEnded() if whole else messages.AttemptFailed("cut")
+        )
 
     @stateful.precondition(lambda self: not self.in_phase(None, _PHASE.DONE))
     @stateful.rule(draw=strategies.integers(0, 9))
