--- a/hyssopfold/core/attempts/attempt.py
+++ b/hyssopfold/core/attempts/attempt.py
@@ -140,7 +140,7 @@
         can_repeat = self.request.repeatable and not self.request.has_body
         fresh = not can_repeat or number > 1
         deadline = self._deadline
-        if not fresh and self.request.expects_silence:
+        if not fresh and self.request.may_use_stale_connection:
             deadline = now + (deadline - now) * REUSED_CONNECTION_SHARE
         return (messages.Send(number, fresh, deadline),)
 
@@ -169,7 +169,7 @@
         """
         self.expect(Phase.SENDING)
         self._uploading = True
-        if self.request.is_absolute:
+        if self.request.is_total_limit:
             return ()
         return (messages.SetAnswerDeadline(math.inf),)
 
@@ -185,7 +185,7 @@
         if not self._uploading:
             return ()
         self._uploading = False
-        if self.request.is_absolute:
+        if self.request.is_total_limit:
             return (messages.SetAnswerDeadline(self._deadline),)
         self._deadline = max(self._deadline, now + self.request.limit_s)
         return (messages.SetAnswerDeadline(self._deadline),)
--- a/hyssopfold/core/attempts/messages.py
+++ b/hyssopfold/core/attempts/messages.py
@@ -32,21 +32,21 @@
         limit_s: Longest time in seconds until the answer begins, counted from
             the request's head and again from its last byte, so that it does
             not cut off a long upload.
-        is_absolute: Whether `limit_s` counts from the head alone: the caller
+        is_total_limit: Whether `limit_s` counts from the head alone: the caller
             counts so itself and does not wait longer.
         max_attempts: Number of servers to which it may be sent.
-        expects_silence: Whether a connection that was used before may be dead
-            although no reset arrived, so that a first attempt on it must leave
-            time for another one.
+        may_use_stale_connection: Whether a connection that was used before may
+            be dead although no reset arrived, so that a first attempt on it
+            must leave time for another one.
     """
 
     request_id: str
     repeatable: bool
     has_body: bool
     limit_s: float
-    is_absolute: bool = False
+    is_total_limit: bool = False
     max_attempts: int = MAX_ATTEMPTS
-    expects_silence: bool = True
+    may_use_stale_connection: bool = True
 
 
 class Started(NamedTuple):
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -236,7 +236,7 @@
 
     async def _read_short(self, server: membership.Server) -> None:
         assert self._answering is not None
-        if not self._request.is_absolute:
+        if not self._request.is_total_limit:
             # It has begun: from here on only a stall ends it.
             self._answer_by.deadline = math.inf
         self._relay = relaying.Relay(
