--- a/hyssopfold/core/attempts/quarantine.py
+++ b/hyssopfold/core/attempts/quarantine.py
@@ -79,12 +79,12 @@
     trial_until: float = -math.inf
 
     @property
-    def counted(self) -> int:
+    def counted_crashes(self) -> int:
         """Return the number of crashes that count."""
         return len(self.crashed - self.cleared)
 
 
-_NONE = _Record(frozenset(), frozenset(), -math.inf)
+_EMPTY_RECORD = _Record(frozenset(), frozenset(), -math.inf)
 
 
 class Quarantine:
@@ -114,16 +114,17 @@
     def quarantined(self) -> int:
         """Return the number of quarantined requests."""
         return sum(
-            record.counted >= CRASH_LIMIT for record in self._records.values()
+            record.counted_crashes >= CRASH_LIMIT
+            for record in self._records.values()
         )
 
     def crashes(self, fingerprint: bytes) -> int:
         """Return the number of crashes that count for a request."""
-        return self._records.get(fingerprint, _NONE).counted
+        return self._records.get(fingerprint, _EMPTY_RECORD).counted_crashes
 
     def is_shared(self, fingerprint: bytes) -> bool:
         """Return whether a request is reported to all instances."""
-        record = self._records.get(fingerprint, _NONE)
+        record = self._records.get(fingerprint, _EMPTY_RECORD)
         return len(record.crashed) >= SHARE_AFTER_CRASHES
 
     def has_head(self, head: bytes) -> bool:
@@ -147,7 +148,7 @@
         Returns:
             Whether the record changed.
         """
-        record = self._records.get(fingerprint, _NONE)
+        record = self._records.get(fingerprint, _EMPTY_RECORD)
         if (
             incarnation_key in record.crashed
             or len(record.cleared) >= MAX_CLEARED
@@ -184,7 +185,7 @@
 
     def _clear(self, fingerprint: bytes) -> bool:
         record = self._records.get(fingerprint)
-        if record is None or not record.counted:
+        if record is None or not record.counted_crashes:
             return False
         return self._store(fingerprint, record._replace(cleared=record.crashed))
 
@@ -206,8 +207,8 @@
             entries: Names of the entries that serve callers.
             now: Monotonic time in seconds.
         """
-        record = self._records.get(fingerprint, _NONE)
-        trials = record.counted - CRASH_LIMIT
+        record = self._records.get(fingerprint, _EMPTY_RECORD)
+        trials = record.counted_crashes - CRASH_LIMIT
         if trials < 0 or now >= record.last_at + QUARANTINE_TTL_S:
             return True
         if trials >= len(TRIALS_AFTER_S):
@@ -234,7 +235,7 @@
         )
 
     def _merge_report(self, report: Report, now: float) -> bool:
-        record = self._records.get(report.fingerprint, _NONE)
+        record = self._records.get(report.fingerprint, _EMPTY_RECORD)
         crashed = record.crashed | frozenset(report.crashed)
         cleared = record.cleared | frozenset(report.cleared)
         if crashed != record.crashed and self._is_answered_lately(
@@ -270,7 +271,7 @@
         evicted = min(
             self._records,
             key=lambda fingerprint: (
-                self._records[fingerprint].counted >= CRASH_LIMIT,
+                self._records[fingerprint].counted_crashes >= CRASH_LIMIT,
                 self._records[fingerprint].last_at,
             ),
         )
@@ -299,7 +300,7 @@
 
     def report(self, fingerprint: bytes, now: float) -> Report:
         """Return the report of one request."""
-        record = self._records.get(fingerprint, _NONE)
+        record = self._records.get(fingerprint, _EMPTY_RECORD)
         return Report(
             fingerprint,
             tuple(sorted(record.crashed)),
@@ -317,7 +318,11 @@
 
 
 def _ttl_s(record: _Record) -> float:
-    return QUARANTINE_TTL_S if record.counted >= CRASH_LIMIT else SUSPECT_TTL_S
+    return (
+        QUARANTINE_TTL_S
+        if record.counted_crashes >= CRASH_LIMIT
+        else SUSPECT_TTL_S
+    )
 
 
 def _hash(fingerprint: bytes, record: _Record) -> int:
--- a/hyssopfold/core/balancing/affinity.py
+++ b/hyssopfold/core/balancing/affinity.py
@@ -16,7 +16,7 @@
 _SCALE = float(1 << 64)
 
 
-class Ranking:
+class RankingCache:
     """Cache of rankings by object, for one set of weights at a time.
 
     Used by `local.Chooser`, one for each pool.
--- a/hyssopfold/core/balancing/allowance.py
+++ b/hyssopfold/core/balancing/allowance.py
@@ -26,7 +26,7 @@
     at: float
 
 
-class Allowance:
+class ColdServerAllowance:
     """This entry's share of the rate that cold servers bear.
 
     Used by `local.Chooser` to decide whether a cold server may get a request.
--- a/hyssopfold/core/balancing/load_reports.py
+++ b/hyssopfold/core/balancing/load_reports.py
@@ -23,7 +23,7 @@
     in_flight_at_report: int
 
 
-_NONE = _Report(0.0, -math.inf, 0)
+_NO_REPORT = _Report(0.0, -math.inf, 0)
 
 
 class LoadReports:
@@ -90,7 +90,7 @@
             The reported requests plus those that this entry sent since; 0
             without a valid report.
         """
-        report = self._reports.get(server_id, _NONE)
+        report = self._reports.get(server_id, _NO_REPORT)
         if report.at < max(since, not_before):
             return 0.0
         return report.requests + in_flight - report.in_flight_at_report
--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -77,7 +77,7 @@
     source: Sequence[membership.Server]
     servers: Mapping[str, membership.Server]
     weights: Mapping[str, float]
-    ranking: affinity.Ranking
+    ranking: affinity.RankingCache
 
 
 class _Choice(NamedTuple):
@@ -117,7 +117,7 @@
         self._region = region
         self._server_stats = server_stats.ServerStatsTable()
         self._pools: dict[str, _Pool] = {}
-        self._allowance = allowance.Allowance(name)
+        self._allowance = allowance.ColdServerAllowance(name)
         self._silence_reports = silence_reports.SilenceReports()
         self._estimates = estimates.Estimates()
         self._locations = object_locations.ObjectLocations()
@@ -173,7 +173,7 @@
             * (HOME_REGION_WEIGHT if server.region == self._region else 1.0)
             for server in servers
         }
-        ranking = pool.ranking if pool is not None else affinity.Ranking()
+        ranking = pool.ranking if pool is not None else affinity.RankingCache()
         if pool is not None and pool.weights == weights:
             weights = pool.weights
         by_id = {server.server_id: server for server in servers}
--- a/tests/steps/bench/soak/soak_steps.py
+++ b/tests/steps/bench/soak/soak_steps.py
@@ -34,7 +34,7 @@
     def draw_itself(own, server_id, entries):
         return (own._name,)
 
-    _break(context, allowance.Allowance, "_draw_senders", draw_itself)
+    _break(context, allowance.ColdServerAllowance, "_draw_senders", draw_itself)
     _break(context, allowance, "SENDERS", 1)
 
 
