--- a/hyssopfold/core/attempts/quarantine.py
+++ b/hyssopfold/core/attempts/quarantine.py
@@ -18,7 +18,7 @@
 # Crashes after which a request is quarantined.
 CRASH_LIMIT = 3
 # Crashes after which a request is reported to all instances; most requests that
-# a crash interrupts are involved in only one.
+# a crash interrupts are interrupted by only one.
 SHARE_AFTER_CRASHES = 2
 # Instances that count the crashes of one request before that.
 COUNTING_INSTANCES = 3
