--- a/bench/emulator/ablation.py
+++ b/bench/emulator/ablation.py
@@ -17,7 +17,7 @@
 from bench.emulator import world
 from hyssopfold.core.balancing import estimates
 from hyssopfold.core.balancing import local
-from hyssopfold.core.balancing import whereabouts
+from hyssopfold.core.balancing import object_locations
 
 SECONDS = 36.0
 BURST_SPAN_S = (20.0, 25.0)
@@ -61,20 +61,23 @@
     Mechanism(
         "objects keep to servers", local.Chooser, "_by_object", _any_server
     ),
-    Mechanism("a second server", local, "SHARED_BY", 1),
-    Mechanism("no third server", local, "SHARED_BY", 3),
-    Mechanism("home region first", local, "HOME_WEIGHT", 1.0),
-    Mechanism("bound by time", local, "PATIENCE", (_OFF,)),
-    Mechanism("bound by priority", local, "PATIENCE", (1.5,)),
+    Mechanism("a second server", local, "SERVERS_PER_OBJECT", 1),
+    Mechanism("no third server", local, "SERVERS_PER_OBJECT", 3),
+    Mechanism("home region first", local, "HOME_REGION_WEIGHT", 1.0),
+    Mechanism("bound by time", local, "MAX_GOAL_RATIOS", (_OFF,)),
+    Mechanism("bound by priority", local, "MAX_GOAL_RATIOS", (1.5,)),
     Mechanism("run times learned", estimates.Estimates, "observe", _ignore),
     Mechanism(
-        "who knows an object", whereabouts.Whereabouts, "knows", lambda *_: True
+        "who knows an object",
+        object_locations.ObjectLocations,
+        "is_cached",
+        lambda *_: True,
     ),
-    Mechanism("load told by servers", local, "REPORT_S", -1.0),
-    Mechanism("silent servers left", local, "SILENT_GOALS", _OFF),
+    Mechanism("load told by servers", local, "REPORT_MAX_AGE_S", -1.0),
+    Mechanism("silent servers left", local, "SILENT_AFTER_GOALS", _OFF),
     Mechanism("silence told to others", tell_s=0.0),
-    Mechanism("rest after a refusal", local, "SHED_REST_S", 0.0),
-    Mechanism("rest after failures", local, "FAILURES", _OFF),
+    Mechanism("rest after a refusal", local, "SHED_EJECTION_S", 0.0),
+    Mechanism("rest after failures", local, "EJECT_AFTER_FAILURES", _OFF),
 )
 
 
--- a/hyssopfold/core/attempts/claims.py
+++ b/hyssopfold/core/attempts/claims.py
@@ -1,8 +1,8 @@
-"""Claims on idempotency keys: a caller's resend does not run again.
+"""Claims on idempotency keys: a request sent again by its caller runs once.
 
 Two entries of a region hold each claim, chosen by rendezvous hashing. A
-request with a key runs only if every holder asked grants it; one holder that
-is lost takes no claim with it that the other does not have too.
+request with a key runs only if all of its holders that were asked grant the
+claim. If one holder is lost, the other one still has the claim.
 """
 
 from collections.abc import Iterable
@@ -10,13 +10,15 @@
 import hashlib
 from typing import NamedTuple
 
+# Entries that hold each claim.
 HOLDERS = 2
-KEEP_S = 900.0
+# Seconds for which a claim is held after its last change.
+CLAIM_TTL_S = 900.0
 MAX_CLAIMS = 100_000
 
 
-class State(enum.Enum):
-    """What is known of the request that holds a claim."""
+class ClaimState(enum.Enum):
+    """State of the request that was granted a claim."""
 
     RUNNING = "running"
     ANSWERED = "answered"
@@ -24,8 +26,8 @@
     NOT_RUN = "not-run"
 
 
-class Kind(enum.Enum):
-    """What a request that asks for a claim learns."""
+class VerdictKind(enum.Enum):
+    """Answer to a request for a claim."""
 
     GRANTED = "granted"
     RUNNING = "running"
@@ -37,18 +39,28 @@
 
 
 class Claim(NamedTuple):
-    """A claim as it is held; `status` is that of the answer, if any."""
+    """A claim held by an entry.
+
+    Attributes:
+        claim_id: Identifies the claim.
+        fingerprint: Fingerprint of the request, to recognise another request
+            with the same key.
+        request_id: The request that was granted the claim.
+        state: State of that request.
+        status: Status of its answer, 0 for none.
+        expires: Monotonic time in seconds at which the claim expires.
+    """
 
     claim_id: bytes
     fingerprint: bytes
     request_id: str
-    state: State
+    state: ClaimState
     status: int
     expires: float
 
 
 class Ask(NamedTuple):
-    """Ask for the claim `claim_id` on behalf of a request."""
+    """Message: ask a holder for the claim `claim_id` on behalf of a request."""
 
     claim_id: bytes
     fingerprint: bytes
@@ -56,99 +68,110 @@
 
 
 class Settle(NamedTuple):
-    """Tell what became of the request that was granted a claim."""
+    """Message: report the outcome of the request that was granted a claim."""
 
     claim_id: bytes
     request_id: str
-    state: State
+    state: ClaimState
     status: int
 
 
 class Verdict(NamedTuple):
-    """Whether a request may run; `status` is of the answer before."""
+    """Whether a request may run; `status` is that of an earlier answer."""
 
-    kind: Kind
+    kind: VerdictKind
     status: int = 0
 
 
-class Table:
+class ClaimTable:
     """The claims that one entry holds.
 
     Args:
-        keep_s: Seconds that a claim is held after its last change.
-        max_claims: Most claims held; no more are granted then.
+        ttl_s: Seconds for which a claim is held after its last change.
+        max_claims: Greatest number of claims; further ones are not granted.
     """
 
     def __init__(
-        self, keep_s: float = KEEP_S, max_claims: int = MAX_CLAIMS
+        self, ttl_s: float = CLAIM_TTL_S, max_claims: int = MAX_CLAIMS
     ) -> None:
-        self._keep_s = keep_s
+        self._ttl_s = ttl_s
         self._max_claims = max_claims
-        self._held: dict[bytes, Claim] = {}
+        self._claims: dict[bytes, Claim] = {}
 
     def __len__(self) -> int:
-        return len(self._held)
+        return len(self._claims)
 
     def ask(self, ask: Ask, now: float) -> Verdict:
-        """Grant a claim that nobody holds; else say what came of it."""
+        """Grant a free claim, or return the state of its request."""
         self._expire(now)
-        held = self._held.get(ask.claim_id)
-        if held is None:
-            if len(self._held) >= self._max_claims:
-                return Verdict(Kind.FULL)
-            self._keep(Claim(*ask, State.RUNNING, 0, now + self._keep_s))
-            return Verdict(Kind.GRANTED)
-        if held.fingerprint != ask.fingerprint:
-            return Verdict(Kind.OTHER_REQUEST)
-        if held.request_id == ask.request_id and held.state is State.RUNNING:
-            # The same request, asked again after a lost answer.
-            return Verdict(Kind.GRANTED)
-        return Verdict(Kind(held.state.value), held.status)
+        claim = self._claims.get(ask.claim_id)
+        if claim is None:
+            if len(self._claims) >= self._max_claims:
+                return Verdict(VerdictKind.FULL)
+            self._store(Claim(*ask, ClaimState.RUNNING, 0, now + self._ttl_s))
+            return Verdict(VerdictKind.GRANTED)
+        if claim.fingerprint != ask.fingerprint:
+            return Verdict(VerdictKind.OTHER_REQUEST)
+        if (
+            claim.request_id == ask.request_id
+            and claim.state is ClaimState.RUNNING
+        ):
+            # The same request asks again since the first verdict was lost.
+            return Verdict(VerdictKind.GRANTED)
+        return Verdict(VerdictKind(claim.state.value), claim.status)
 
     def settle(self, settle: Settle, now: float) -> None:
-        """Take in what became of a request; `not-run` frees its claim."""
-        held = self._held.get(settle.claim_id)
-        if held is None or held.request_id != settle.request_id:
+        """Record the outcome of a request; `not-run` frees its claim."""
+        claim = self._claims.get(settle.claim_id)
+        if claim is None or claim.request_id != settle.request_id:
             return
-        if settle.state is State.NOT_RUN:
-            if held.state is State.RUNNING:
-                del self._held[settle.claim_id]
+        if settle.state is ClaimState.NOT_RUN:
+            if claim.state is ClaimState.RUNNING:
+                del self._claims[settle.claim_id]
             return
-        expires = now + self._keep_s
-        self._keep(
-            held._replace(
+        expires = now + self._ttl_s
+        self._store(
+            claim._replace(
                 state=settle.state, status=settle.status, expires=expires
             )
         )
 
-    def take(self, claims: Iterable[Claim], now: float) -> None:
-        """Take over what a leaving holder held."""
+    def take_over(self, claims: Iterable[Claim], now: float) -> None:
+        """Add the claims of a holder that leaves."""
         for claim in claims:
-            held = self._held.get(claim.claim_id)
-            if held is None or held.state is State.RUNNING:
-                self._keep(claim._replace(expires=now + self._keep_s))
+            own = self._claims.get(claim.claim_id)
+            if own is None or own.state is ClaimState.RUNNING:
+                self._store(claim._replace(expires=now + self._ttl_s))
 
     def claims(self) -> list[Claim]:
-        """Return all claims that are held."""
-        return list(self._held.values())
+        """Return all claims."""
+        return list(self._claims.values())
 
-    def _keep(self, claim: Claim) -> None:
-        # The newest go last, so that the first ones expire first.
-        self._held.pop(claim.claim_id, None)
-        self._held[claim.claim_id] = claim
+    def _store(self, claim: Claim) -> None:
+        # Insert at the end: the claims are ordered by their expiry.
+        self._claims.pop(claim.claim_id, None)
+        self._claims[claim.claim_id] = claim
 
     def _expire(self, now: float) -> None:
-        while self._held:
-            first = next(iter(self._held.values()))
-            if first.expires > now:
+        while self._claims:
+            oldest = next(iter(self._claims.values()))
+            if oldest.expires > now:
                 return
-            del self._held[first.claim_id]
+            del self._claims[oldest.claim_id]
+
 
+def rank_holders(claim_id: bytes, names: Iterable[str]) -> list[str]:
+    """Return entries ranked for a claim by rendezvous hashing.
 
-def rank(claim_id: bytes, names: Iterable[str]) -> list[str]:
-    """Return `names` by rendezvous hashing, the first holder first.
+    An entry that joins or leaves moves only the claims for which it ranks
+    first.
+
+    Args:
+        claim_id: The claim.
+        names: Names of the entries.
 
-    A name that comes or goes moves only the claims that it ranks first for.
+    Returns:
+        The names, the first holder first.
     """
 
     def score(name: str) -> bytes:
@@ -159,7 +182,11 @@
     return sorted(names, key=score)
 
 
-def combine(verdicts: Iterable[Verdict]) -> Verdict:
-    """Return the one verdict of several holders: any refusal refuses."""
-    refusals = [one for one in verdicts if one.kind is not Kind.GRANTED]
-    return refusals[0] if refusals else Verdict(Kind.GRANTED)
+def combine_verdicts(verdicts: Iterable[Verdict]) -> Verdict:
+    """Return the first refusal of several holders, else a grant."""
+    refusals = [
+        verdict
+        for verdict in verdicts
+        if verdict.kind is not VerdictKind.GRANTED
+    ]
+    return refusals[0] if refusals else Verdict(VerdictKind.GRANTED)
--- a/hyssopfold/core/balancing/allowance.py
+++ b/hyssopfold/core/balancing/allowance.py
@@ -1,10 +1,11 @@
-"""How many requests entries together may send to a cold server.
-
-A cold server crashes under a rate that a warm one bears, and no entry sees
-what the others send. So a few entries, drawn by rendezvous hashing, hold the
-whole allowance of a server between them, each as a token bucket. In any
-second they send at most the rate plus one request each. An entry that does
-not know of another one draws itself too often, but takes no larger part.
+"""Limit the rate of requests that all entries together send to a cold server.
+
+A cold server crashes under a rate that a warm one bears, and no entry knows
+how much the others send. Rendezvous hashing therefore assigns each server's
+rate to a fixed number of entries, each of which enforces its equal share with a
+token bucket. In any second they send at most the rate plus one request each.
+An entry that does not know of all others may choose itself wrongly, but its
+share is no larger.
 """
 
 from collections.abc import Collection
@@ -12,12 +13,12 @@
 
 from hyssopfold.core.balancing import affinity
 
-# Entries that may send to one cold server: two bear the loss of one, and add
-# no more than two requests to a second's allowance.
-HOLDERS = 2
-# What is left of the bound for requests on their way, in clocks' and links'
-# jitter, when a burst of one second falls into another.
-MARGIN = 0.8
+# Entries that may send to one cold server. With two, one may fail, and the
+# token buckets add no more than two requests to a second's rate.
+SENDERS = 2
+# Share of the rate that is used. The rest allows for jitter of clocks and
+# links, which can move the requests of one second into the next.
+RATE_FACTOR = 0.8
 
 
 class _Bucket(NamedTuple):
@@ -25,8 +26,10 @@
     at: float
 
 
-class Allowance:
-    """This entry's part of what cold servers bear.
+class ColdServerAllowance:
+    """This entry's share of the rate that cold servers bear.
+
+    Used by `local.Chooser` to decide whether a cold server may get a request.
 
     Args:
         name: Name of this entry.
@@ -35,62 +38,63 @@
     def __init__(self, name: str) -> None:
         self._name = name
         self._buckets: dict[str, _Bucket] = {}
-        # Who holds each server's allowance, for one object of entries.
-        self._holders: dict[str, tuple[str, ...]] = {}
-        self._holders_of: Collection[str] = ()
+        # The entries that may send to each server, valid for `_senders_of`.
+        self._senders: dict[str, tuple[str, ...]] = {}
+        self._senders_of: Collection[str] = ()
 
-    def note(self, server_id: str, now: float) -> None:
-        """Count what may go to a server from now on: it is known to be cold.
+    def record_cold(self, server_id: str, now: float) -> None:
+        """Start the token bucket of a server that is known to be cold.
 
-        A fresh process does not know what it sent before it restarted.
+        The bucket starts empty: after a restart the process does not know what
+        it sent before.
         """
         self._buckets.setdefault(server_id, _Bucket(0.0, now))
 
     def may_send(
         self, server_id: str, rate: float, entries: Collection[str], now: float
     ) -> bool:
-        """Return whether a request may go to a cold server now.
+        """Return whether a request may be sent to a cold server now.
 
         Args:
             server_id: The server.
-            rate: Requests a second that it bears, from all entries.
+            rate: Requests a second that it bears from all entries together.
             entries: Names of the entries that serve callers; the same object
-                until one of them changes.
+                as long as none of them changes.
             now: Monotonic time in seconds.
         """
-        holders = self._drawn(server_id, entries)
-        if self._name not in holders:
+        senders = self._draw_senders(server_id, entries)
+        if self._name not in senders:
             return False
-        held = self._filled(server_id, rate * MARGIN / HOLDERS, now)
-        self._buckets[server_id] = held
-        return held.tokens >= 1
+        bucket = self._refilled(server_id, rate * RATE_FACTOR / SENDERS, now)
+        self._buckets[server_id] = bucket
+        return bucket.tokens >= 1
 
-    def _drawn(
+    def _draw_senders(
         self, server_id: str, entries: Collection[str]
     ) -> tuple[str, ...]:
-        if entries is not self._holders_of:
-            self._holders_of = entries
-            self._holders.clear()
-        holders = self._holders.get(server_id)
-        if holders is None:
+        if entries is not self._senders_of:
+            self._senders_of = entries
+            self._senders.clear()
+        senders = self._senders.get(server_id)
+        if senders is None:
             names = {*entries, self._name}
-            holders = affinity.alike(server_id, names)[:HOLDERS]
-            self._holders[server_id] = holders
-        return holders
-
-    def take(self, server_id: str) -> None:
-        """Count a request that goes to a cold server."""
-        held = self._buckets.get(server_id)
-        if held is not None:
-            self._buckets[server_id] = held._replace(tokens=held.tokens - 1)
-
-    def _filled(self, server_id: str, rate: float, now: float) -> _Bucket:
-        self.note(server_id, now)
-        held = self._buckets[server_id]
-        tokens = min(1.0, held.tokens + (now - held.at) * rate)
+            senders = affinity.rank_unweighted(server_id, names)[:SENDERS]
+            self._senders[server_id] = senders
+        return senders
+
+    def spend(self, server_id: str) -> None:
+        """Take a token for a request that is sent to a cold server."""
+        bucket = self._buckets.get(server_id)
+        if bucket is not None:
+            self._buckets[server_id] = bucket._replace(tokens=bucket.tokens - 1)
+
+    def _refilled(self, server_id: str, rate: float, now: float) -> _Bucket:
+        self.record_cold(server_id, now)
+        bucket = self._buckets[server_id]
+        tokens = min(1.0, bucket.tokens + (now - bucket.at) * rate)
         return _Bucket(tokens, now)
 
-    def forget(self, known: Collection[str]) -> None:
-        """Drop the servers that are not `known`."""
-        for server_id in self._buckets.keys() - set(known):
+    def prune(self, server_ids: Collection[str]) -> None:
+        """Drop the servers that are not in `server_ids`."""
+        for server_id in self._buckets.keys() - set(server_ids):
             del self._buckets[server_id]
--- a/hyssopfold/core/balancing/grantor.py
+++ b/hyssopfold/core/balancing/grantor.py
@@ -229,7 +229,7 @@
             self._withdraw(message.holder, message.number)
             return []
         self._health.record_result(slot.server_id, message.attempt_result, now)
-        self._queue.freed(now)
+        self._queue.record_free(now)
         return self.serve_queue(now)
 
     def _withdraw(self, holder: messages.Member, number: int) -> None:
@@ -254,7 +254,7 @@
         """Grant slots to queued requests; deny those that waited too long."""
         effects: list[messages.Effect] = [
             self._deny(request, "waited-too-long", now)
-            for request in self._queue.expired(now)
+            for request in self._queue.pop_expired(now)
         ]
         for request in self._queue.items():
             server = self._choose_server(request)
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -87,7 +87,7 @@
 class BusyServers(NamedTuple):
     """Message: loads of busy servers, as their answers reported them.
 
-    Each load is the key of a server incarnation (see `sightings.life_key`)
+    Each load is the key of a server incarnation (see `server_stats.incarnation_key`)
     and the number of its requests.
     """
 
@@ -98,7 +98,7 @@
     """Message: servers that answer none of the sender's pending requests.
 
     Each is given as the key of a server incarnation (see
-    `sightings.life_key`).
+    `server_stats.incarnation_key`).
     """
 
     incarnation_keys: tuple[int, ...]
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -10,11 +10,11 @@
 
 from hyssopfold import logs
 from hyssopfold import tables
-from hyssopfold.core.balancing import accusations
 from hyssopfold.core.balancing import load_reports
 from hyssopfold.core.balancing import local
 from hyssopfold.core.balancing import messages
 from hyssopfold.core.balancing import reopened
+from hyssopfold.core.balancing import silence_reports
 from hyssopfold.core.membership import messages as membership
 from hyssopfold.transport import datagram_wire
 from hyssopfold.transport import gossip
@@ -56,7 +56,7 @@
         self._directory = spread.directory
         self._rng = rng
         self._evacuated = evacuated
-        self._reopened = reopened.Reopened(spread.directory)
+        self._reopened = reopened.ReopenedDomains(spread.directory)
         self._warm_up_s: dict[str, float] = {}
         # Names of the entries that serve callers, made once a change.
         self._entries: tuple[membership.Instance, ...] = ()
@@ -84,7 +84,7 @@
 
     def _note_reopened(self, now: float) -> None:
         """Notice a change before the first request that it concerns is placed."""
-        for domain in self._reopened.note(self._evacuated(), now):
+        for domain in self._reopened.update(self._evacuated(), now):
             logger.info(logs.Event("domain-reopened", domain=domain))
 
     def _entry_names(self) -> tuple[str, ...]:
@@ -112,7 +112,7 @@
         warm_up_s = self._warm_up_s.get(grant.server.pool, 0.0)
         now = trio.current_time()
         self._chooser.learn(grant, done, now)
-        self._chooser.done(grant.server.server_id, done, warm_up_s, now)
+        self._chooser.record_done(grant.server.server_id, done, warm_up_s, now)
         if self._chooser.has_busy:
             self._is_busy.set()
 
@@ -139,13 +139,13 @@
         while True:
             await trio.sleep(_TIDY_S)
             words = self._directory.servers.words()
-            self._chooser.forget({one.server_id for one in words})
+            self._chooser.prune({one.server_id for one in words})
 
     async def _tell(self) -> None:
         """Tell the entries of this region: they use the same servers most."""
         while True:
             await trio.sleep(TELL_S)
-            silent = self._chooser.silent(trio.current_time())
+            silent = self._chooser.silent_keys(trio.current_time())
             if not silent:
                 continue
             me = self._spread.myself
@@ -175,7 +175,7 @@
                 case messages.SilentServers(keys):
                     self._hear_silent(parcel.sender, keys)
                 case messages.BusyServers(loads):
-                    self._chooser.hear_loads(loads, trio.current_time())
+                    self._chooser.record_loads(loads, trio.current_time())
                 case _:
                     # Sent by an entry with another way of placing requests.
                     logger.warning(
@@ -183,13 +183,15 @@
                     )
 
     def _hear_silent(self, sender: str, keys: tuple[int, ...]) -> None:
-        for one in self._chooser.hear(sender, keys, trio.current_time()):
+        for one in self._chooser.record_silent(
+            sender, keys, trio.current_time()
+        ):
             logger.info(
                 logs.Event(
                     "server-silent",
                     server=one,
                     by=sender,
-                    others=accusations.ACCUSERS,
-                    held_s=accusations.ACCUSED_S,
+                    others=silence_reports.MIN_REPORTERS,
+                    held_s=silence_reports.REPORT_VALID_S,
                 )
             )
