--- a/bench/load/scenario.py
+++ b/bench/load/scenario.py
@@ -60,7 +60,7 @@
     documents.Field("host", documents.string(), "", True, "a host"),
     documents.Field(
         "entries",
-        documents.listed(documents.address),
+        documents.list_of(documents.address),
         (),
         True,
         "addresses of entries, or of a server asked directly",
@@ -83,7 +83,7 @@
     documents.Field("timeout_s", _SECONDS, 30.0, unit="s"),
     documents.Field(
         "mix",
-        documents.listed(
+        documents.list_of(
             documents.record(_KIND, lambda values: Kind(**values))
         ),
         (),
@@ -103,8 +103,10 @@
     reader, node = documents.compose(text, path)
     values = reader.mapping(node, FIELDS, "")
     if not values["mix"]:
-        reader.fault_at(1, "mix", "an empty list", "one kind or more")
+        reader.add_fault_at(1, "mix", "an empty list", "one kind or more")
     if not values["entries"]:
-        reader.fault_at(1, "entries", "an empty list", "one address or more")
+        reader.add_fault_at(
+            1, "entries", "an empty list", "one address or more"
+        )
     reader.raise_faults()
     return Scenario(**values)
--- a/hyssopfold/documents.py
+++ b/hyssopfold/documents.py
@@ -45,7 +45,9 @@
         # Line of each key that was read, by its path.
         self.lines: dict[str, int] = {}
 
-    def fault(self, node: yaml.Node | None, where: str, allowed: str) -> None:
+    def add_fault(
+        self, node: yaml.Node | None, where: str, allowed: str
+    ) -> None:
         """Note that `node` at key path `where` should have been `allowed`."""
         line = node.start_mark.line + 1 if node is not None else 1
         shown = _show(node)
@@ -53,7 +55,9 @@
             errors.Fault(self.source, line, where, shown, allowed)
         )
 
-    def fault_at(self, line: int, where: str, value: str, allowed: str) -> None:
+    def add_fault_at(
+        self, line: int, where: str, value: str, allowed: str
+    ) -> None:
         """Note a fault whose line is known but whose node is not."""
         self.faults.append(
             errors.Fault(self.source, line, where, value, allowed)
@@ -74,7 +78,7 @@
         """Return the checked values of a mapping, unknown keys refused."""
         values = {field.name: field.default for field in fields}
         if not isinstance(node, yaml.MappingNode):
-            self.fault(node, where or "document", "a mapping of keys")
+            self.add_fault(node, where or "document", "a mapping of keys")
             return values
         known = {field.name: field for field in fields}
         seen: set[str] = set()
@@ -83,17 +87,17 @@
             path = f"{where}.{key}" if where else key
             self.lines.setdefault(path, key_node.start_mark.line + 1)
             if key not in known:
-                self.fault(key_node, path, f"one of {', '.join(known)}")
+                self.add_fault(key_node, path, f"one of {', '.join(known)}")
                 continue
             if key in seen:
-                self.fault(key_node, path, "each key only once")
+                self.add_fault(key_node, path, "each key only once")
                 continue
             seen.add(key)
             values[key] = known[key].convert(self, value_node, path)
         for field in fields:
             if field.required and field.name not in seen:
                 path = f"{where}.{field.name}" if where else field.name
-                self.fault_at(
+                self.add_fault_at(
                     node.start_mark.line + 1,
                     path,
                     "(missing)",
@@ -118,7 +122,9 @@
     """
     reader = Reader(source)
     if len(text.encode()) > MAX_BYTES:
-        reader.fault_at(1, "document", "its size", f"under {MAX_BYTES} bytes")
+        reader.add_fault_at(
+            1, "document", "its size", f"under {MAX_BYTES} bytes"
+        )
         reader.raise_faults()
     try:
         _check_events(text, reader)
@@ -128,9 +134,11 @@
         mark = getattr(exc, "problem_mark", None)
         line = mark.line + 1 if mark else 1
         problem = getattr(exc, "problem", None) or "unreadable text"
-        reader.fault_at(line, "document", problem, "valid YAML")
+        reader.add_fault_at(line, "document", problem, "valid YAML")
     except RecursionError:
-        reader.fault_at(1, "document", "its depth", f"under {MAX_DEPTH} levels")
+        reader.add_fault_at(
+            1, "document", "its depth", f"under {MAX_DEPTH} levels"
+        )
     reader.raise_faults()
     raise AssertionError("unreachable: faults were noted")
 
@@ -145,14 +153,16 @@
     for event in yaml.parse(text, Loader=yaml.SafeLoader):
         line = event.start_mark.line + 1
         if isinstance(event, yaml.AliasEvent):
-            reader.fault_at(line, "document", "an alias", "the value itself")
+            reader.add_fault_at(
+                line, "document", "an alias", "the value itself"
+            )
             return
         if isinstance(event, yaml.CollectionStartEvent):
             depth += 1
         elif isinstance(event, yaml.CollectionEndEvent):
             depth -= 1
         if depth > MAX_DEPTH:
-            reader.fault_at(
+            reader.add_fault_at(
                 line, "document", "its depth", f"under {MAX_DEPTH} levels"
             )
             return
@@ -165,12 +175,12 @@
 
     def convert(reader: Reader, node: yaml.Node, where: str) -> str:
         if not isinstance(node, yaml.ScalarNode) or not node.value:
-            reader.fault(node, where, "a text")
+            reader.add_fault(node, where, "a text")
             return ""
         if choices and node.value not in choices:
-            reader.fault(node, where, f"one of {', '.join(choices)}")
+            reader.add_fault(node, where, f"one of {', '.join(choices)}")
         if len(node.value) > max_length or not node.value.isprintable():
-            reader.fault(
+            reader.add_fault(
                 node, where, f"printable text of at most {max_length} letters"
             )
         return str(node.value)
@@ -189,11 +199,11 @@
         try:
             value = kind(getattr(node, "value", ""))
         except (TypeError, ValueError):
-            reader.fault(node, where, allowed)
+            reader.add_fault(node, where, allowed)
             return kind(minimum)
         # Written this way round, so that a NaN is refused too.
         if not minimum <= value <= maximum:
-            reader.fault(node, where, allowed)
+            reader.add_fault(node, where, allowed)
             return kind(minimum)
         return value
 
@@ -204,7 +214,7 @@
     """Convert `true` or `false`."""
     value = getattr(node, "value", None)
     if value not in ("true", "false"):
-        reader.fault(node, where, "true or false")
+        reader.add_fault(node, where, "true or false")
     return bool(value == "true")
 
 
@@ -212,7 +222,7 @@
     """Convert an IP number and port, such as `127.0.0.1:7101`."""
     value = str(getattr(node, "value", ""))
     if not is_address(value):
-        reader.fault(node, where, "an IP number and port, IP:PORT")
+        reader.add_fault(node, where, "an IP number and port, IP:PORT")
     return value
 
 
@@ -226,7 +236,7 @@
     return port.isascii() and port.isdigit() and 0 < int(port) < 65536
 
 
-def listed(
+def list_of(
     convert: Callable[[Reader, yaml.Node, str], Any], max_items: int = 10_000
 ) -> Callable[[Reader, yaml.Node, str], tuple[Any, ...]]:
     """Return a converter for a list whose items `convert` takes."""
@@ -235,10 +245,12 @@
         reader: Reader, node: yaml.Node, where: str
     ) -> tuple[Any, ...]:
         if not isinstance(node, yaml.SequenceNode):
-            reader.fault(node, where, "a list")
+            reader.add_fault(node, where, "a list")
             return ()
         if len(node.value) > max_items:
-            reader.fault(node, where, f"a list of at most {max_items} items")
+            reader.add_fault(
+                node, where, f"a list of at most {max_items} items"
+            )
             return ()
         return tuple(
             convert(reader, item, f"{where}[{index}]")
@@ -248,7 +260,7 @@
     return convert_all
 
 
-def keyed(
+def mapping_of(
     convert: Callable[[Reader, yaml.Node, str], Any],
 ) -> Callable[[Reader, yaml.Node, str], dict[str, Any]]:
     """Return a converter for a mapping of free names to like values."""
@@ -257,7 +269,7 @@
         reader: Reader, node: yaml.Node, where: str
     ) -> dict[str, Any]:
         if not isinstance(node, yaml.MappingNode):
-            reader.fault(node, where, "a mapping")
+            reader.add_fault(node, where, "a mapping")
             return {}
         return {
             str(key.value): convert(reader, value, f"{where}.{key.value}")
--- a/hyssopfold/setting_fields.py
+++ b/hyssopfold/setting_fields.py
@@ -90,7 +90,7 @@
     ),
     documents.Field(
         "gossip_seeds",
-        documents.listed(documents.address),
+        documents.list_of(documents.address),
         (),
         help="UDP addresses of some other processes of ours",
     ),
@@ -173,7 +173,7 @@
 
 _MEMBERS = documents.Field(
     "control",
-    documents.listed(
+    documents.list_of(
         documents.record(_MEMBER, lambda values: Member(**values)), 7
     ),
     (),
@@ -182,7 +182,7 @@
 )
 _CONTROL_SEEDS = documents.Field(
     "control_seeds",
-    documents.listed(documents.address, 7),
+    documents.list_of(documents.address, 7),
     (),
     help="rpc addresses of some control instances, in place of `control`:"
     " the instances then find each other and let newcomers vote by themselves",
@@ -385,7 +385,7 @@
     *_CALLER_LIMITS,
     documents.Field(
         "region_delays_ms",
-        documents.keyed(documents.number(float, 0, 10_000)),
+        documents.mapping_of(documents.number(float, 0, 10_000)),
         None,
         unit="ms",
         help="one-way delay from this entry's region to each other region",
--- a/hyssopfold/settings.py
+++ b/hyssopfold/settings.py
@@ -161,7 +161,7 @@
 def _fault(
     reader: documents.Reader, where: str, value: str, allowed: str
 ) -> None:
-    reader.fault_at(reader.lines.get(where, 1), where, value, allowed)
+    reader.add_fault_at(reader.lines.get(where, 1), where, value, allowed)
 
 
 _TOGETHER = (
--- a/hyssopfold/tables.py
+++ b/hyssopfold/tables.py
@@ -115,7 +115,7 @@
 def _name(reader: documents.Reader, node: yaml.Node, where: str) -> str:
     value = str(getattr(node, "value", ""))
     if not _NAME.match(value):
-        reader.fault(
+        reader.add_fault(
             node, where, "a name of lower case letters, digits, '.', '_', '-'"
         )
     return value
@@ -124,25 +124,25 @@
 def _host(reader: documents.Reader, node: yaml.Node, where: str) -> str:
     value = str(getattr(node, "value", "")).lower()
     if not re.match(r"[a-z0-9*][a-z0-9.-]{0,252}\Z", value):
-        reader.fault(node, where, "a host name, or * for any")
+        reader.add_fault(node, where, "a host name, or * for any")
     return value
 
 
 def _prefix(reader: documents.Reader, node: yaml.Node, where: str) -> str:
     value = str(getattr(node, "value", ""))
     if not re.match(r"/[!-~]{0,1023}\Z", value):
-        reader.fault(node, where, "a path that begins with /")
+        reader.add_fault(node, where, "a path that begins with /")
     if value.startswith("/hyssop/"):
-        reader.fault(node, where, "a path outside /hyssop/, which is ours")
+        reader.add_fault(node, where, "a path outside /hyssop/, which is ours")
     return value
 
 
 _DRAINS = (
-    documents.Field("servers", documents.listed(documents.string()), ()),
+    documents.Field("servers", documents.list_of(documents.string()), ()),
     documents.Field(
-        "failure_domains", documents.listed(documents.string()), ()
+        "failure_domains", documents.list_of(documents.string()), ()
     ),
-    documents.Field("regions", documents.listed(documents.string()), ()),
+    documents.Field("regions", documents.list_of(documents.string()), ()),
 )
 
 ROUTE_FIELDS = (
@@ -155,7 +155,7 @@
     ),
     documents.Field(
         "methods",
-        documents.listed(documents.string(choices=METHODS)),
+        documents.list_of(documents.string(choices=METHODS)),
         METHODS,
         help="methods that the route takes",
     ),
@@ -183,13 +183,13 @@
     ),
     documents.Field(
         "weights",
-        documents.keyed(documents.number(float, 0, 1_000_000)),
+        documents.mapping_of(documents.number(float, 0, 1_000_000)),
         None,
         help="share of each region; nearest region first when left out",
     ),
     documents.Field(
         "split",
-        documents.keyed(documents.number(float, 0, 1_000_000)),
+        documents.mapping_of(documents.number(float, 0, 1_000_000)),
         None,
         help="share of each of several pools, `pool` among them; all go to"
         " `pool` when left out",
@@ -215,7 +215,7 @@
     ),
     documents.Field(
         "allowed_regions",
-        documents.listed(documents.string()),
+        documents.list_of(documents.string()),
         (),
         help="regions whose servers may serve the route; any when left out",
     ),
@@ -288,11 +288,11 @@
 
 _FIELDS = (
     documents.Field(
-        "routes", documents.listed(documents.record(ROUTE_FIELDS, _route)), ()
+        "routes", documents.list_of(documents.record(ROUTE_FIELDS, _route)), ()
     ),
     documents.Field(
         "pools",
-        documents.listed(
+        documents.list_of(
             documents.record(POOL_FIELDS, lambda values: Pool(**values))
         ),
         (),
@@ -317,7 +317,7 @@
     lines = {key: _row_lines(node, key) for key in ("routes", "pools")}
     for fault in row_faults(values["routes"], values["pools"]):
         line = lines[fault.table][fault.row]
-        reader.fault_at(line, fault.where, fault.value, fault.allowed)
+        reader.add_fault_at(line, fault.where, fault.value, fault.allowed)
     reader.raise_faults()
     return ordered(values["routes"], values["pools"])
 
