--- a/hyssopfold/tables.py
+++ b/hyssopfold/tables.py
@@ -86,7 +86,7 @@
 
 
 # What a pool has that is made from another source than our tables.
-USUAL_POOL = Pool(
+DEFAULT_POOL = Pool(
     name="",
     slots=1,
     connections=330,
