--- a/bench/client_blocks.py
+++ b/bench/client_blocks.py
@@ -10,8 +10,8 @@
 import time
 from typing import NamedTuple
 
-from hyssopfold.core.steering import blocks
-from hyssopfold.entry import blocks as entry_blocks
+from hyssopfold.core.steering import client_blocks
+from hyssopfold.entry import blocks
 
 SITES = 71
 REGIONS = 7
@@ -71,11 +71,11 @@
         with source.open("w", encoding="utf-8") as file:
             file.writelines(f"{line}\n" for line in lines(count, seed))
         began = time.process_time()
-        entry_blocks.build(str(source), path)
+        blocks.build(str(source), path)
         parse_s = time.process_time() - began
         before = _resident()
         began = time.process_time()
-        table = entry_blocks.load(path)
+        table = blocks.load(path)
         load_s = time.process_time() - began
         resident = _resident() - before
     rng = random.Random(seed)
@@ -89,7 +89,9 @@
     ]
     v4_us, v6_us = _each_us(table.site_of, v4), _each_us(table.site_of, v6)
     changes = [f"{one.rpartition('.')[0]}.0/24 s1" for one in v4[:_CHANGES]]
-    change_us = _each_us(lambda one: blocks.apply(table, [one], "x"), changes)
+    change_us = _each_us(
+        lambda one: client_blocks.apply(table, [one], "x"), changes
+    )
     return Result(
         count, table.size_bytes(), resident, parse_s, load_s, v4_us, v6_us,
         change_us,
--- a/hyssopfold/core/steering/blocks.py
+++ b/hyssopfold/core/steering/client_blocks.py
@@ -264,7 +264,7 @@
     return [array.array(kind) for kind in _KINDS * 2]
 
 
-def restored(header: Header, arrays: Sequence["array.array[int]"]) -> Table:
+def from_arrays(header: Header, arrays: Sequence["array.array[int]"]) -> Table:
     """Return the table whose arrays were read.
 
     Raises:
--- a/hyssopfold/entry/blocks.py
+++ b/hyssopfold/entry/blocks.py
@@ -10,7 +10,7 @@
 
 from hyssopfold import errors
 from hyssopfold import logs
-from hyssopfold.core.steering import blocks
+from hyssopfold.core.steering import client_blocks
 
 logger = logging.getLogger(__name__)
 
@@ -27,7 +27,7 @@
         InvalidDocumentError: naming the first line that is wrong.
     """
     with open(source, encoding="utf-8") as lines:
-        table = blocks.parse(lines, source)
+        table = client_blocks.parse(lines, source)
     header = msgspec.msgpack.encode(table.header())
     parts = [len(header).to_bytes(_LENGTH_BYTES, "big"), header]
     parts += [one.tobytes() for one in table.arrays()]
@@ -36,7 +36,7 @@
     return len(data) + _DIGEST_BYTES
 
 
-def load(path: str) -> blocks.Table:
+def load(path: str) -> client_blocks.Table:
     """Return the table in a file that `build` wrote.
 
     Raises:
@@ -51,21 +51,21 @@
         raise errors.InvalidDocumentError([fault]) from exc
 
 
-def _read(file: BinaryIO) -> blocks.Table:
+def _read(file: BinaryIO) -> client_blocks.Table:
     """Read a table straight into its arrays: no second copy is ever held."""
     expected = file.read(_DIGEST_BYTES)
     length = file.read(_LENGTH_BYTES)
     encoded = file.read(int.from_bytes(length, "big"))
     found = _digest(length)
     found.update(encoded)
-    header = msgspec.msgpack.decode(encoded, type=blocks.Header)
-    arrays = blocks.empty_arrays(header)
+    header = msgspec.msgpack.decode(encoded, type=client_blocks.Header)
+    arrays = client_blocks.empty_arrays(header)
     for one, count in zip(arrays, header.counts, strict=True):
         one.fromfile(file, count)
         found.update(one)
     if found.digest() != expected or file.read(1):
         raise ValueError("a file whose checksum fits")
-    return blocks.restored(header, arrays)
+    return client_blocks.from_arrays(header, arrays)
 
 
 def _digest(data: bytes) -> "hashlib.blake2b":
@@ -82,7 +82,7 @@
     def __init__(self, path: str) -> None:
         self._changes = pathlib.Path(path + CHANGES_SUFFIX)
         self._offset = 0
-        self.table = load(path) if path else blocks.Table()
+        self.table = load(path) if path else client_blocks.Table()
 
     def region_of(self, client: str) -> str | None:
         """Return the region at home for a client, or None if not known."""
@@ -113,7 +113,7 @@
         text = whole.decode("utf-8", "replace").splitlines()
         source = str(self._changes)
         try:
-            count = blocks.apply(self.table, text, source)
+            count = client_blocks.apply(self.table, text, source)
         except errors.InvalidDocumentError as exc:
             logger.warning(logs.Event("bad-client-blocks", error=exc.summary))
             return 0
--- a/tests/steps/core/steering/blocks_steps.py
+++ b/tests/steps/core/steering/client_blocks_steps.py
@@ -1,4 +1,4 @@
-"""Steps of core/steering/blocks.feature."""
+"""Steps of core/steering/client_blocks.feature."""
 
 import pathlib
 import tempfile
@@ -10,18 +10,18 @@
 from hypothesis import strategies
 
 from hyssopfold import errors
-from hyssopfold.core.steering import blocks
-from hyssopfold.entry import blocks as entry_blocks
+from hyssopfold.core.steering import client_blocks
+from hyssopfold.entry import blocks
 
 
 @given("the client blocks")
 def _(context):
-    context.blocks = blocks.parse(context.text.splitlines(), "blocks")
+    context.blocks = client_blocks.parse(context.text.splitlines(), "blocks")
 
 
 @when("client blocks change by")
 def _(context):
-    blocks.apply(context.blocks, context.text.splitlines(), "changes")
+    client_blocks.apply(context.blocks, context.text.splitlines(), "changes")
 
 
 @then("client addresses lie at")
@@ -35,7 +35,7 @@
 @then('client blocks refuse line {line:d} of "{text}"')
 def _(context, line, text):
     try:
-        blocks.parse(text.split("; "), "blocks")
+        client_blocks.parse(text.split("; "), "blocks")
     except errors.InvalidDocumentError as exc:
         assert exc.faults[0].line == line, exc
         return
@@ -51,13 +51,13 @@
         "site d dar\nsite m mwanza\n10.0.0.0/16 d\n", encoding="utf-8"
     )
     context.built = pathlib.Path(folder.name, "built")
-    entry_blocks.build(str(source), str(context.built))
-    held = entry_blocks.Blocks(str(context.built))
+    blocks.build(str(source), str(context.built))
+    held = blocks.Blocks(str(context.built))
     assert held.region_of("10.0.9.9") == "dar"
     cut = pathlib.Path(folder.name, "cut")
     cut.write_bytes(context.built.read_bytes()[:-3])
     try:
-        entry_blocks.Blocks(str(cut))
+        blocks.Blocks(str(cut))
     except errors.InvalidDocumentError:
         return
     raise AssertionError("a file cut short was taken")
@@ -65,8 +65,8 @@
 
 @then("a line appended to its changes is in force, one not yet ended is not")
 def _(context):
-    held = entry_blocks.Blocks(str(context.built))
-    changes = pathlib.Path(str(context.built) + entry_blocks.CHANGES_SUFFIX)
+    held = blocks.Blocks(str(context.built))
+    changes = pathlib.Path(str(context.built) + blocks.CHANGES_SUFFIX)
     changes.write_text("10.0.1.0/24 m\n10.0.2.0/24", encoding="utf-8")
     assert held.apply_changes() == 1
     with changes.open("a", encoding="utf-8") as file:
@@ -101,9 +101,11 @@
             key=lambda item: (item[0][0], -item[0][1]),
         )
         lines = [f"{_text(*prefix)} {site}" for prefix, site in held]
-        table = blocks.parse(["site d dar", "site m mwanza", *lines], "x")
+        table = client_blocks.parse(
+            ["site d dar", "site m mwanza", *lines], "x"
+        )
         later = [f"{_text(*prefix)} {site}" for prefix, site in changes]
-        blocks.apply(table, later, "x")
+        client_blocks.apply(table, later, "x")
         edges = {
             edge
             for (unit, free), _ in [*held, *changes]
--- a/tests/steps/entry/steering_steps.py
+++ b/tests/steps/entry/steering_steps.py
@@ -12,11 +12,11 @@
 from hyssopfold import tables
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import messages
-from hyssopfold.core.steering import blocks
+from hyssopfold.core.steering import client_blocks
 from hyssopfold.core.steering import plans
 from hyssopfold.core.steering import shares
 from hyssopfold.entry import adoption
-from hyssopfold.entry import blocks as entry_blocks
+from hyssopfold.entry import blocks
 from hyssopfold.entry import configuration
 from hyssopfold.entry import status as entry_status
 from hyssopfold.entry import steering
@@ -61,8 +61,8 @@
 
 
 def _steering(context, region, lines):
-    clients = entry_blocks.Blocks("")
-    clients.table = blocks.parse(lines, "blocks")
+    clients = blocks.Blocks("")
+    clients.table = client_blocks.parse(lines, "blocks")
     delays = {"dar": 35.0, "arusha": 35.0}
     return steering.Steering(
         region, delays, context.configuration, context.known, clients
