--- a/bench/link_model.py
+++ b/bench/link_model.py
@@ -7,7 +7,7 @@
 import heapq
 import random
 
-from hyssopfold.core.steering import links
+from hyssopfold.core.steering import link_pacing
 
 LINK_MBIT = 4000
 LINK_BYTES_S = LINK_MBIT * 1_000_000 / 8
@@ -28,7 +28,7 @@
     """
     rng = random.Random(seed)
     held = [
-        links.Link(links.part_bytes_s(LINK_MBIT, entries))
+        link_pacing.LinkPacer(link_pacing.bulk_rate_bytes_s(LINK_MBIT, entries))
         for _ in range(entries)
     ]
     free_at, delays, moved = 0.0, [], 0
@@ -51,7 +51,7 @@
                 _lose_one(held)
             number = rng.randrange(entries) if upload is None else upload
             owner = held[number % len(held)]
-            wait = owner.take(size, upload is not None, now)
+            wait = owner.reserve(size, upload is not None, now)
             if wait > 0:
                 ready.add((now + wait, tie))
                 heapq.heappush(events, (now + wait, tie, upload))
@@ -69,7 +69,7 @@
 def _lose_one(held):
     held.pop()
     for link in held:
-        link.rate = links.part_bytes_s(LINK_MBIT, len(held))
+        link.rate_bytes_s = link_pacing.bulk_rate_bytes_s(LINK_MBIT, len(held))
 
 
 def main():
--- a/hyssopfold/core/steering/links.py
+++ b/hyssopfold/core/steering/link_pacing.py
@@ -12,7 +12,7 @@
 _MEGA = 1_000_000
 
 
-def part_bytes_s(cap_mbit: float, entries: int) -> float:
+def bulk_rate_bytes_s(cap_mbit: float, entries: int) -> float:
     """Return the bytes a second that one entry's bulk may put on a link.
 
     Args:
@@ -22,19 +22,19 @@
     return cap_mbit * _MEGA / _BITS * BULK_SHARE / max(1, entries)
 
 
-class Link:
+class LinkPacer:
     """This entry's part of the link to one region.
 
     Args:
-        rate: Bytes a second, above 0.
+        rate_bytes_s: Bytes a second, above 0.
     """
 
-    def __init__(self, rate: float) -> None:
-        self.rate = rate
+    def __init__(self, rate_bytes_s: float) -> None:
+        self.rate_bytes_s = rate_bytes_s
         # When all that was let through will have passed at the rate.
         self._passed_at = 0.0
 
-    def take(self, size: int, bulk: bool, now: float) -> float:
+    def reserve(self, size: int, bulk: bool, now: float) -> float:
         """Return the seconds to wait until `size` bytes may pass.
 
         Args:
@@ -45,7 +45,7 @@
         begins = max(self._passed_at, now - BURST_S)
         # An interactive burst must not bar bulk for longer than a second.
         most = begins if bulk else max(begins, now + 1.0)
-        ends = begins + size / self.rate
+        ends = begins + size / self.rate_bytes_s
         self._passed_at = ends if bulk else min(ends, most)
         wait_s = max(0.0, begins - now) if bulk else 0.0
         assert bulk or not wait_s
--- a/hyssopfold/entry/pacing.py
+++ b/hyssopfold/entry/pacing.py
@@ -6,7 +6,7 @@
 
 from hyssopfold import logs
 from hyssopfold.core.membership import directory
-from hyssopfold.core.steering import links
+from hyssopfold.core.steering import link_pacing
 from hyssopfold.entry import configuration
 
 logger = logging.getLogger(__name__)
@@ -33,7 +33,7 @@
         self._region = region
         self._config = config
         self._directory = known
-        self._links: dict[str, links.Link] = {}
+        self._links: dict[str, link_pacing.LinkPacer] = {}
         self._counted_at = -_COUNT_S
 
     async def take(self, region: str, size: int, bulk: bool) -> None:
@@ -48,8 +48,10 @@
         self._count(now)
         link = self._links.get(region)
         if link is None:
-            link = self._links[region] = links.Link(self._rate(region))
-        wait_s = link.take(size, bulk, now)
+            link = self._links[region] = link_pacing.LinkPacer(
+                self._rate(region)
+            )
+        wait_s = link.reserve(size, bulk, now)
         if wait_s > _LONG_WAIT_S:
             logger.debug(logs.Event("link-wait", to=region, wait_s=wait_s))
         if wait_s > 0:
@@ -61,7 +63,7 @@
             return
         self._counted_at = now
         for region, link in self._links.items():
-            link.rate = self._rate(region)
+            link.rate_bytes_s = self._rate(region)
 
     def _rate(self, region: str) -> float:
         ends = (self._region, region)
@@ -71,4 +73,4 @@
         caps = [
             pool.link_cap_mbit for pool in self._config.snapshot.tables.pools
         ]
-        return links.part_bytes_s(min(caps, default=1), sharing)
+        return link_pacing.bulk_rate_bytes_s(min(caps, default=1), sharing)
--- a/tests/steps/core/steering/links_steps.py
+++ b/tests/steps/core/steering/link_pacing_steps.py
@@ -1,11 +1,11 @@
-"""Steps of core/steering/links.feature."""
+"""Steps of core/steering/link_pacing.feature."""
 
 from behave import given
 from behave import then
 from behave import when
 
 from bench import link_model
-from hyssopfold.core.steering import links
+from hyssopfold.core.steering import link_pacing
 
 
 def _p99(delays):
@@ -42,26 +42,26 @@
 
 @given("a link with room for {rate:d} bytes a second")
 def _(context, rate):
-    context.link = links.Link(float(rate))
+    context.link = link_pacing.LinkPacer(float(rate))
 
 
 @when("{size:d} bytes of bulk are taken from the link")
 def _(context, size):
-    assert context.link.take(size, True, 10.0) == 0.0
+    assert context.link.reserve(size, True, 10.0) == 0.0
 
 
 @then("{size:d} more bytes of bulk wait between {low:f} and {high:f} s")
 def _(context, size, low, high):
-    assert low <= context.link.take(size, True, 10.0) <= high
+    assert low <= context.link.reserve(size, True, 10.0) <= high
 
 
 @then("{size:d} interactive bytes wait 0 s")
 def _(context, size):
-    assert context.link.take(size, False, 10.0) == 0.0
+    assert context.link.reserve(size, False, 10.0) == 0.0
 
 
 @then("many interactive bytes bar bulk for {most:f} s at most")
 def _(context, most):
     for _ in range(100):
-        context.link.take(1_000_000, False, 20.0)
-    assert context.link.take(1, True, 20.0) <= most
+        context.link.reserve(1_000_000, False, 20.0)
+    assert context.link.reserve(1, True, 20.0) <= most
