--- a/bench/capacity/lookup.py
+++ b/bench/capacity/lookup.py
@@ -84,17 +84,17 @@
     regions = [f"r{n}" for n in range(_REGIONS)]
     for count in _ENTRIES:
         entries = _entries(count)
-        roster = lookup.Roster()
-        roster.update(entries)
+        index = lookup.EntryIndex()
+        index.update(entries)
 
-        def rank(number, roster=roster):
-            roster.rank(f"10.1.{number % 250}.{number}", regions)
+        def rank(number, index=index):
+            index.rank(f"10.1.{number % 250}.{number}", regions)
 
-        def update(_, roster=roster, entries=entries):
-            roster.update(entries)
+        def update(_, index=index, entries=entries):
+            index.update(entries)
 
         def arrange(_, entries=entries):
-            lookup.Roster().update(entries)
+            lookup.EntryIndex().update(entries)
 
         ranked.append(slopes.Point(count, _us(rank, _CALLS)))
         same.append(slopes.Point(count, _us(update, 20)))
--- a/hyssopfold/core/steering/lookup.py
+++ b/hyssopfold/core/steering/lookup.py
@@ -27,7 +27,7 @@
     entries: list[messages.Instance]
 
 
-class Roster:
+class EntryIndex:
     """The entries that may be named, arranged for quick answers.
 
     An entry stands with many points on the circle of its region. A caller gets
@@ -72,7 +72,9 @@
         }
         return True
 
-    def of_region(self, regions: Sequence[str]) -> list[messages.Instance]:
+    def in_first_region(
+        self, regions: Sequence[str]
+    ) -> list[messages.Instance]:
         """Return all entries of the first region that has any.
 
         Args:
--- a/hyssopfold/entry/lookups.py
+++ b/hyssopfold/entry/lookups.py
@@ -60,7 +60,7 @@
         self._config = config
         self._spread = spread
         self._steering = steer
-        self._roster = lookup.Roster()
+        self._index = lookup.EntryIndex()
         self._arranged_at = -MAX_AGE_S
         self._regions: tuple[str, ...] = ()
 
@@ -76,7 +76,7 @@
         home = self._steering.home_of(client)
         order: tuple[str, ...] = (home or self._region,)
         reason = "nearest"
-        changing = self._roster.is_changing
+        changing = self._index.is_changing
         if route is not None:
             changing = changing or self._steering.is_moving(route.pool)
             if home is not None:
@@ -87,7 +87,7 @@
                 decision = self._steering.decide(route, key, client)
                 order = (decision.regions[0].name, home)
                 reason = decision.reason
-        entries = self._roster.rank(client, self._preferred(order))
+        entries = self._index.rank(client, self._preferred(order))
         ttl_s = lookup.ttl_s(self._usual_ttl_s, changing)
         if logger.isEnabledFor(logging.INFO):
             logger.info(
@@ -124,8 +124,8 @@
         costs it one connection and not its only entry.
         """
         self._arrange()
-        entries = self._roster.of_region(self._preferred((region,)))
-        ttl_s = lookup.ttl_s(self._usual_ttl_s, self._roster.is_changing)
+        entries = self._index.in_first_region(self._preferred((region,)))
+        ttl_s = lookup.ttl_s(self._usual_ttl_s, self._index.is_changing)
         return Near(entries[:MAX_NAMED], ttl_s)
 
     def _arrange(self) -> None:
@@ -134,7 +134,7 @@
             return
         self._arranged_at = now
         instances = self._spread.live_instances()
-        self._roster.update(instances)
+        self._index.update(instances)
         known = {one.region for one in instances} | {self._region}
         self._regions = regions.by_delay(self._region, known, self._delays_ms)
 
--- a/tests/steps/core/steering/lookup_steps.py
+++ b/tests/steps/core/steering/lookup_steps.py
@@ -22,7 +22,7 @@
 
 
 def _rank(context):
-    return [context.roster.rank(one, REGIONS) for one in CALLERS]
+    return [context.index.rank(one, REGIONS) for one in CALLERS]
 
 
 @given(
@@ -39,14 +39,14 @@
             for number in range(entries)
         )
     }
-    context.roster = lookup.Roster()
-    context.roster.update(context.entries.values())
+    context.index = lookup.EntryIndex()
+    context.index.update(context.entries.values())
     context.first = [ranked[0].name for ranked in _rank(context)]
 
 
 def _change(context, name, **changes):
     context.entries[name] = context.entries[name]._replace(**changes)
-    context.roster.update(context.entries.values())
+    context.index.update(context.entries.values())
 
 
 @when('look-ups hear that "{name}" is leaving')
@@ -62,7 +62,7 @@
 @when('look-ups hear no more of "{region}"')
 def _(context, region):
     left = [one for one in context.entries.values() if one.region != region]
-    context.roster.update(left)
+    context.index.update(left)
 
 
 @then(
@@ -95,7 +95,7 @@
 
 @then("look-ups may be cached for {short:f} s of {usual:d} s")
 def _(context, short, usual):
-    assert lookup.ttl_s(usual, context.roster.is_changing) == short
+    assert lookup.ttl_s(usual, context.index.is_changing) == short
 
 
 @then('"{name}" is first for {low:f} to {high:f} of 300 callers')
