--- a/bench/capacity/steering.py
+++ b/bench/capacity/steering.py
@@ -54,7 +54,7 @@
     held = shares.Shares()
     held.install(state.State(first), 0.0, 0.0)
     held.step(0.1, 0.1, {"p0": frozenset(names)})
-    place = regions.Place(names[0], names, {})
+    place = regions.SteeringContext(names[0], names, {})
     return _us(lambda n: held.decide(first.routes[0], place, f"{n}"), _CALLS)
 
 
--- a/bench/shift_world.py
+++ b/bench/shift_world.py
@@ -56,7 +56,7 @@
 def even_keys(name, count):
     """Return request ids whose first draws lie evenly between 0 and 1."""
     tries = [f"{name}/{index}" for index in range(count * CANDIDATES)]
-    tries.sort(key=lambda key: regions.draws(key)[0])
+    tries.sort(key=lambda key: regions.hash_draws(key)[0])
     offset = zlib.crc32(name.encode()) % CANDIDATES
     return tries[offset::CANDIDATES]
 
@@ -208,7 +208,9 @@
                 others = sorted(ready - {site.name})
                 names = (site.name, *others) if site.name in ready else others
                 domains = {name: (f"{name}-1", f"{name}-2") for name in names}
-                place = regions.Place(site.name, tuple(names), domains)
+                place = regions.SteeringContext(
+                    site.name, tuple(names), domains
+                )
                 weight = site.offered / (len(near) * len(node.keys))
                 for key in node.keys:
                     decision = node.shares.decide(self.route, place, key)
--- a/hyssopfold/core/steering/regions.py
+++ b/hyssopfold/core/steering/regions.py
@@ -16,16 +16,16 @@
 _SCALE = float(1 << 32)
 
 
-class Place(NamedTuple):
+class SteeringContext(NamedTuple):
     """From where a request is steered.
 
-    `home` is the caller's region, `near` all regions that have ready servers
+    `home_region` is the caller's region, `regions_by_delay` all regions that have ready servers
     of the pool, by their delay from the entry, and `domains` the failure
     domains of these servers by region.
     """
 
-    home: str
-    near: tuple[str, ...]
+    home_region: str
+    regions_by_delay: tuple[str, ...]
     domains: Mapping[str, Collection[str]]
 
 
@@ -33,23 +33,26 @@
     """Where a request may go, best first, and what a shift has to do with it.
 
     `shifted` tells that a shift or drain took the request away from the region
-    `old` or from the failure domains `closed_domains` in it.
+    `previous_region` or from the failure domains `closed_domains` in it.
     """
 
     regions: tuple[messages.Region, ...]
     reason: str
     shifted: bool = False
-    old: str = ""
+    previous_region: str = ""
     closed_domains: tuple[str, ...] = ()
 
     def turned_back(self, region: str, domain: str) -> bool:
         """Return whether the target had no room: it was served as before."""
         if domain in self.closed_domains:
             return True
-        return self.shifted and region == self.old != self.regions[0].name
+        return (
+            self.shifted
+            and region == self.previous_region != self.regions[0].name
+        )
 
 
-def draws(key: str) -> tuple[int, ...]:
+def hash_draws(key: str) -> tuple[int, ...]:
     """Return 16 numbers of 32 bits that every node draws alike from a key.
 
     The first picks the layout, the others the regions. They come from the
@@ -60,7 +63,7 @@
     return _DRAWS.unpack(digest)
 
 
-def as_share(number: int) -> float:
+def to_fraction(number: int) -> float:
     """Return a number drawn as a share, above 0 and below 1."""
     return (number + 0.5) / _SCALE
 
@@ -86,9 +89,9 @@
     )
 
 
-def natural(
+def preference_order(
     weights: tuple[state.RegionWeight, ...],
-    place: Place,
+    place: SteeringContext,
     numbers: tuple[int, ...],
 ) -> tuple[str, ...]:
     """Return the regions in the order that a request has for itself.
@@ -99,16 +102,18 @@
     caller's own region goes first and the others by delay.
     """
     if not weights:
-        others = tuple(name for name in place.near if name != place.home)
-        return (place.home, *others)
+        others = tuple(
+            name for name in place.regions_by_delay if name != place.home_region
+        )
+        return (place.home_region, *others)
     scores = [
-        (-math.log(as_share(number)) / one.weight, one.region)
+        (-math.log(to_fraction(number)) / one.weight, one.region)
         for one, number in zip(weights, itertools.cycle(numbers[1:]))
     ]
     return tuple([region for _, region in sorted(scores)])
 
 
-def open_first(names: tuple[str, ...], layout: state.Layout) -> str:
+def first_open(names: tuple[str, ...], layout: state.Layout) -> str:
     """Return the first region that the layout leaves open, or the first."""
     for name in names:
         if name not in layout.closed_regions:
@@ -116,7 +121,9 @@
     return names[0]
 
 
-def closed_in(name: str, layout: state.Layout, place: Place) -> tuple[str, ...]:
+def closed_domains_in(
+    name: str, layout: state.Layout, place: SteeringContext
+) -> tuple[str, ...]:
     """Return the failure domains of a region that the layout closes."""
     if not layout.closed_domains:
         return ()
@@ -124,11 +131,11 @@
     return tuple(one for one in layout.closed_domains if one in there)
 
 
-def order(
+def candidates(
     layout: state.Layout,
     target: state.Layout,
     names: tuple[str, ...],
-    place: Place,
+    place: SteeringContext,
     moved: bool,
 ) -> tuple[messages.Region, ...]:
     """Return where a request that `layout` decides may go, best first.
@@ -137,7 +144,7 @@
         layout: The layout that decides.
         target: What the tables in force want; regions that it closes are
             emptied, others are closed only because they just returned.
-        names: The request's own order, from `natural`.
+        names: The request's own order, from `preference_order`.
         place: From where it is steered.
         moved: Whether a shift under way took it to the first open region.
     """
@@ -146,23 +153,23 @@
     regions = []
     for name in names:
         if name not in closed:
-            domains = closed_in(name, layout, place)
+            domains = closed_domains_in(name, layout, place)
             away = moved or name != first or bool(domains)
             regions.append(messages.Region(name, away, domains))
     # A drain that no one has room for must not turn into refusals: what the
     # others cannot take within their headroom stays where it was, and the
     # drain waits.
-    if first in closed or closed_in(first, layout, place):
+    if first in closed or closed_domains_in(first, layout, place):
         regions.append(messages.Region(first, False))
     regions += [
-        messages.Region(name, True, closed_in(name, layout, place))
+        messages.Region(name, True, closed_domains_in(name, layout, place))
         for name in names[1:]
         if name in closed and name not in target.closed_regions
     ]
     return tuple(regions)
 
 
-def allowed(
+def restrict(
     found: tuple[messages.Region, ...],
     only: Collection[str],
     evacuated: tuple[str, ...],
--- a/hyssopfold/core/steering/shares.py
+++ b/hyssopfold/core/steering/shares.py
@@ -260,14 +260,23 @@
         return plans.mix({final: 1.0}, back, 1.0 - kept)
 
     def decide(
-        self, route: tables_module.Route, place: regions.Place, key: str
+        self,
+        route: tables_module.Route,
+        place: regions.SteeringContext,
+        key: str,
     ) -> regions.Decision:
         """Return where a request may go, best first."""
-        numbers = regions.draws(key)
-        layout = _pick(self._ranked(), regions.as_share(numbers[0]))
+        numbers = regions.hash_draws(key)
+        layout = _pick(self._ranked(), regions.to_fraction(numbers[0]))
         weighted = self._weighted.get(route.name, True)
         names = self._names(layout, route, place, numbers) if weighted else ()
-        cached = (layout, route.name, place.home, place.near, names)
+        cached = (
+            layout,
+            route.name,
+            place.home_region,
+            place.regions_by_delay,
+            names,
+        )
         decision = self._decisions.get(cached)
         # With weights `old` differs from request to request of one order, so
         # only a mixture at rest can be answered from the cache.
@@ -299,19 +308,19 @@
         layout: state.Layout,
         names: tuple[str, ...],
         route: tables_module.Route,
-        place: regions.Place,
+        place: regions.SteeringContext,
         numbers: tuple[int, ...],
     ) -> regions.Decision:
         final = self._final()
         old = names[0]
         if layout == final:
             old = self._old_place(names, route, place, numbers)
-        first = regions.open_first(names, layout)
-        domains = regions.closed_in(first, layout, place)
+        first = regions.first_open(names, layout)
+        domains = regions.closed_domains_in(first, layout, place)
         shifted = layout == final and (old != first or bool(domains))
         moved = shifted and len(self.mixture) > 1
         return regions.Decision(
-            regions.order(layout, self.target, names, place, moved),
+            regions.candidates(layout, self.target, names, place, moved),
             "moved" if shifted else "home",
             shifted,
             old,
@@ -322,19 +331,19 @@
         self,
         layout: state.Layout,
         route: tables_module.Route,
-        place: regions.Place,
+        place: regions.SteeringContext,
         numbers: tuple[int, ...],
     ) -> tuple[str, ...]:
         weights = layouts.weights_of(layout, route.name)
         if weights is None:
             weights = layouts.weights_of(self.target, route.name) or ()
-        return regions.natural(weights, place, numbers)
+        return regions.preference_order(weights, place, numbers)
 
     def _old_place(
         self,
         names: tuple[str, ...],
         route: tables_module.Route,
-        place: regions.Place,
+        place: regions.SteeringContext,
         numbers: tuple[int, ...],
     ) -> str:
         """Return the region the request would go to but for the shift."""
@@ -344,7 +353,7 @@
             return names[0]
         before = max(others, key=lambda one: self.mixture[one])
         names = self._names(before, route, place, numbers)
-        return regions.open_first(names, before)
+        return regions.first_open(names, before)
 
     def report(self) -> Report:
         """Return the shares in force and what is left to do."""
@@ -428,7 +437,7 @@
     def decide(
         self,
         route: tables_module.Route,
-        place: regions.Place,
+        place: regions.SteeringContext,
         key: str,
         pool_name: str = "",
     ) -> regions.Decision:
@@ -442,9 +451,9 @@
         """
         pool = self._pools.get(pool_name or route.pool)
         if pool is None:
-            names = regions.natural((), place, ())
+            names = regions.preference_order((), place, ())
             empty = state.Layout()
-            found = regions.order(empty, empty, names, place, False)
+            found = regions.candidates(empty, empty, names, place, False)
             return regions.Decision(found, "home")
         return pool.decide(route, place, key)
 
--- a/hyssopfold/core/steering/splits.py
+++ b/hyssopfold/core/steering/splits.py
@@ -15,7 +15,7 @@
         split: Weight of each pool, one of them above 0.
         request_id: Id of the request.
     """
-    draw = regions.as_share(regions.draws(f"split {request_id}")[0])
+    draw = regions.to_fraction(regions.hash_draws(f"split {request_id}")[0])
     left = draw * sum(split.values())
     chosen = ""
     for name, weight in sorted(split.items()):
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -193,7 +193,7 @@
         return messages.Request(
             self._exchange.request_id,
             self._pool.name,
-            regions.allowed(
+            regions.restrict(
                 self._decision.regions,
                 self._route.allowed_regions,
                 self._exchange.snapshot.held.evacuated,
--- a/hyssopfold/entry/steering.py
+++ b/hyssopfold/entry/steering.py
@@ -49,7 +49,7 @@
         self._directory = known
         self._blocks = clients
         self._revision = 0
-        self._places: dict[str, regions.Place] = {}
+        self._places: dict[str, regions.SteeringContext] = {}
 
     async def run(
         self, catch_up: Callable[[shares.Shares], Awaitable[None]]
@@ -77,7 +77,7 @@
         for pool in self._config.snapshot.tables.pools:
             place = self._look_around(pool.name)
             self._places[pool.name] = place
-            ready[pool.name] = frozenset(place.near)
+            ready[pool.name] = frozenset(place.regions_by_delay)
         for change in self.shares.step(now, utc_s, ready):
             logger.info(
                 logs.Event(
@@ -99,12 +99,12 @@
             self._revision = snapshot.revision
             self.shares.install(snapshot.held, now, utc_s)
 
-    def _look_around(self, pool: str) -> regions.Place:
+    def _look_around(self, pool: str) -> regions.SteeringContext:
         domains: dict[str, set[str]] = defaultdict(set)
         for server in self._directory.ready_servers(pool):
             domains[server.region].add(server.failure_domain)
         near = regions.by_delay(self._region, domains, self._delays_ms)
-        return regions.Place(self._region, near, domains)
+        return regions.SteeringContext(self._region, near, domains)
 
     def home_of(self, client: str) -> str | None:
         """Return the region at home for a client's address, if known."""
@@ -140,8 +140,8 @@
         if place is None:
             place = self._look_around(pool)
         home = self.home_of(client)
-        if home is not None and home != place.home:
-            place = place._replace(home=home)
+        if home is not None and home != place.home_region:
+            place = place._replace(home_region=home)
         return self.shares.decide(route, place, request_id, pool)
 
     def note(
--- a/tests/support/local_entries.py
+++ b/tests/support/local_entries.py
@@ -99,7 +99,7 @@
         held = entry.config.snapshot.held
         dar = (messages.Region("dar", False),)
         req = messages.Request(
-            "r", "ledger", regions.allowed(dar, (), held.evacuated), 0, 1e9, (),
+            "r", "ledger", regions.restrict(dar, (), held.evacuated), 0, 1e9, (),
             f"pay {self._rng.randrange(_OBJECTS)}", 0.25, "pay",
         )  # fmt: skip
         pool = entry.config.snapshot.tables.pool("ledger")
