--- a/hyssopfold/core/steering/plans.py
+++ b/hyssopfold/core/steering/plans.py
@@ -52,10 +52,10 @@
     pool_before = old.tables.pool(pool.name)
     if pool_before is None:
         return None
-    plan = find(old.shifts, pool.name)
+    plan = find_shift(old.shifts, pool.name)
     before = layouts.of_pool(old.tables, pool_before)
     target = layouts.of_pool(new, pool)
-    source = {before: 1.0} if plan is None else in_force(plan, utc_s)
+    source = {before: 1.0} if plan is None else mixture_at(plan, utc_s)
     if plan is not None and target == before and source != {target: 1.0}:
         unchanged = (pool_before.shift_cap, pool_before.warm_up_s) == (
             pool.shift_cap,
@@ -95,7 +95,9 @@
     return rate
 
 
-def find(shifts: tuple[state.Shift, ...], pool: str) -> state.Shift | None:
+def find_shift(
+    shifts: tuple[state.Shift, ...], pool: str
+) -> state.Shift | None:
     """Return the plan of a pool."""
     for shift in shifts:
         if shift.pool == pool:
@@ -109,12 +111,12 @@
     return min(1.0, done)
 
 
-def in_force(shift: state.Shift, utc_s: float) -> Mixture:
+def mixture_at(shift: state.Shift, utc_s: float) -> Mixture:
     """Return the mixture that the plan wants at a time of day, UTC."""
-    return at_age(shift, utc_s - shift.start_s)
+    return mixture_at_age(shift, utc_s - shift.start_s)
 
 
-def at_age(shift: state.Shift, age_s: float) -> Mixture:
+def mixture_at_age(shift: state.Shift, age_s: float) -> Mixture:
     """Return the mixture that the plan wants `age_s` seconds after start."""
     source = {part.layout: part.share for part in shift.source}
     return mix(source, {shift.target: 1.0}, progress(shift, age_s))
@@ -141,7 +143,7 @@
     )
 
 
-def cost(one: Mixture, other: Mixture) -> float:
+def moved_share(one: Mixture, other: Mixture) -> float:
     """Return the most of the pool's traffic that moves from one to other."""
     gained = [
         layout
--- a/hyssopfold/core/steering/shares.py
+++ b/hyssopfold/core/steering/shares.py
@@ -158,7 +158,7 @@
     def _move(self, now: float, utc_s: float, passed: float) -> None:
         wanted = self._wanted(now, utc_s)
         final = self._final()
-        to_go = plans.cost(self.mixture, wanted)
+        to_go = plans.moved_share(self.mixture, wanted)
         if to_go <= _EPSILON:
             self.mixture = wanted
             left = plans.distance_to(wanted, final)
@@ -171,7 +171,9 @@
         budget = self._per_second() * passed
         step = min(1.0, budget / to_go)
         moved = plans.mix(self.mixture, wanted, step)
-        assert plans.cost(self.mixture, moved) <= budget * _SLACK + _EPSILON
+        assert (
+            plans.moved_share(self.mixture, moved) <= budget * _SLACK + _EPSILON
+        )
         assert abs(sum(moved.values()) - 1.0) < 1e-6
         self.mixture = moved
         self.phase = "moving"
@@ -193,7 +195,7 @@
             # bounds its age from below, so a clock behind cannot stop it.
             # A clock ahead cannot hurry it: see `_move`.
             age_s = max(utc_s - self.plan.start_s, now - self.learned_at)
-            mixture = plans.at_age(self.plan, age_s)
+            mixture = plans.mixture_at_age(self.plan, age_s)
         return _closed(mixture, self.lost)
 
     def _final(self) -> state.Layout:
@@ -399,7 +401,7 @@
         pools: dict[str, _Pool] = {}
         for row in held.tables.pools:
             target = layouts.of_pool(held.tables, row)
-            plan = plans.find(held.shifts, row.name)
+            plan = plans.find_shift(held.shifts, row.name)
             pool = self._pools.get(row.name)
             if pool is None:
                 pool = _Pool(row, target, plan, now, utc_s)
