--- a/bench/capacity/steering.py
+++ b/bench/capacity/steering.py
@@ -41,7 +41,7 @@
             for pool in first.pools
         )
     )
-    held = shares.Shares()
+    held = shares.TrafficShares()
     held.install(state.State(first), 0.0, 0.0)
     held.install(plans.after_edit(state.State(first), drained, 0.0), 1.0, 0.0)
     ready = {pool.name: frozenset("abc") for pool in first.pools}
@@ -51,7 +51,7 @@
 def _decide_us(count):
     names = tuple(f"region-{n}" for n in range(count))
     first = shift_world.with_weights(_tables(1), dict.fromkeys(names, 1.0))
-    held = shares.Shares()
+    held = shares.TrafficShares()
     held.install(state.State(first), 0.0, 0.0)
     held.step(0.1, 0.1, {"p0": frozenset(names)})
     place = regions.SteeringContext(names[0], names, {})
--- a/bench/shift_world.py
+++ b/bench/shift_world.py
@@ -49,7 +49,7 @@
 
     def start(self):
         """Begin a life without memory."""
-        self.shares = shares.Shares()
+        self.shares = shares.TrafficShares()
         self.revision = 0
 
 
@@ -244,7 +244,9 @@
             busy[domain] += weight
             self.served[name] += weight
             if decision.shifted:
-                node.shares.note(self.pool.name, decision, name, domain)
+                node.shares.record_outcome(
+                    self.pool.name, decision, name, domain
+                )
             return
         self.served[REFUSED] += weight
 
--- a/hyssopfold/core/steering/shares.py
+++ b/hyssopfold/core/steering/shares.py
@@ -29,7 +29,7 @@
 Phase = Literal["settled", "moving", "waiting"]
 
 
-class Change(NamedTuple):
+class PhaseChange(NamedTuple):
     """Something to log: what a pool's shift does now, and why."""
 
     pool: str
@@ -131,7 +131,7 @@
 
     def step(
         self, now: float, utc_s: float, ready: frozenset[str]
-    ) -> Change | None:
+    ) -> PhaseChange | None:
         """Move on, hold or step back; return what is worth a log line."""
         # A process that was frozen must not make up for the time at once:
         # its share would jump. It goes on from where it was.
@@ -145,7 +145,7 @@
         self._parts = None
         if (self.phase, self.reason) == before:
             return None
-        return Change(
+        return PhaseChange(
             self.row.name,
             self.phase,
             self.reason,
@@ -221,7 +221,7 @@
         self.lost = lost
         self.ready = ready
 
-    def note(
+    def record_outcome(
         self, decision: regions.Decision, region: str, domain: str
     ) -> None:
         """Count what became of a request that a shift took elsewhere."""
@@ -376,7 +376,7 @@
         )
 
 
-class Shares:
+class TrafficShares:
     """The mixtures in force for all pools at one node.
 
     All times `now` are monotonic seconds, all `utc_s` seconds since 1970.
@@ -421,7 +421,7 @@
 
     def step(
         self, now: float, utc_s: float, ready: Mapping[str, frozenset[str]]
-    ) -> list[Change]:
+    ) -> list[PhaseChange]:
         """Move every pool on; return what is worth a log line.
 
         Args:
@@ -459,12 +459,12 @@
             return regions.Decision(found, "home")
         return pool.decide(route, place, key)
 
-    def note(
+    def record_outcome(
         self, pool: str, decision: regions.Decision, region: str, domain: str
     ) -> None:
         """Take in where a request that `decide` steered was served."""
         if pool in self._pools:
-            self._pools[pool].note(decision, region, domain)
+            self._pools[pool].record_outcome(decision, region, domain)
 
     def is_moving(self, pool: str) -> bool:
         """Return whether a shift of the pool is under way."""
--- a/hyssopfold/entry/adoption.py
+++ b/hyssopfold/entry/adoption.py
@@ -23,7 +23,7 @@
 _PERIOD_S = 0.05
 
 
-async def adopt(spread: gossip.Gossip, held: shares.Shares) -> None:
+async def adopt(spread: gossip.Gossip, held: shares.TrafficShares) -> None:
     """Go on from the shares of a running entry, of this region at best.
 
     Without it an entry that restarts midway in a shift would go by the plan
@@ -47,7 +47,9 @@
     return sorted(others, key=lambda one: one.region != me.region)
 
 
-async def _adopt_from(peer: messages.Instance, held: shares.Shares) -> bool:
+async def _adopt_from(
+    peer: messages.Instance, held: shares.TrafficShares
+) -> bool:
     try:
         with trio.fail_after(_ASK_TIMEOUT_S):
             async with httpcore.AsyncConnectionPool() as pool:
--- a/hyssopfold/entry/steering.py
+++ b/hyssopfold/entry/steering.py
@@ -42,7 +42,7 @@
         known: directory.Directory,
         clients: blocks.Blocks,
     ) -> None:
-        self.shares = shares.Shares()
+        self.shares = shares.TrafficShares()
         self._region = region
         self._delays_ms = delays_ms
         self._config = config
@@ -52,7 +52,7 @@
         self._places: dict[str, regions.SteeringContext] = {}
 
     async def run(
-        self, catch_up: Callable[[shares.Shares], Awaitable[None]]
+        self, catch_up: Callable[[shares.TrafficShares], Awaitable[None]]
     ) -> None:
         """Step the shares for as long as the entry runs.
 
@@ -150,4 +150,4 @@
         """Take in which server got a request that `decide` steered."""
         if decision.shifted:
             region, domain = server.region, server.failure_domain
-            self.shares.note(pool, decision, region, domain)
+            self.shares.record_outcome(pool, decision, region, domain)
--- a/tests/steps/entry/steering_steps.py
+++ b/tests/steps/entry/steering_steps.py
@@ -127,7 +127,7 @@
 
     answer = trio.run(read, clock=trio.testing.MockClock())
     body = msgspec.json.decode(answer.body)
-    started = shares.Shares()
+    started = shares.TrafficShares()
     # Its clock is an hour ahead: by it the drain is done.
     started.install(context.configuration.snapshot.held, 0.0, 3600.0)
     for pool, parts in adoption.parts_of(body["pools"]).items():
