--- a/bench/capacity/steering.py
+++ b/bench/capacity/steering.py
@@ -2,7 +2,7 @@
 
 import time
 
-from bench import shift_world
+from bench import shift_simulation
 from bench.capacity import slopes
 from hyssopfold import state
 from hyssopfold import tables
@@ -50,7 +50,7 @@
 
 def _decide_us(count):
     names = tuple(f"region-{n}" for n in range(count))
-    first = shift_world.with_weights(_tables(1), dict.fromkeys(names, 1.0))
+    first = shift_simulation.with_weights(_tables(1), dict.fromkeys(names, 1.0))
     held = shares.TrafficShares()
     held.install(state.State(first), 0.0, 0.0)
     held.step(0.1, 0.1, {"p0": frozenset(names)})
--- a/bench/shift_model.py
+++ b/bench/shift_model.py
@@ -6,7 +6,7 @@
 import argparse
 from typing import NamedTuple
 
-from bench import shift_world
+from bench import shift_simulation
 from hyssopfold import tables
 
 LOADS = (0.5, 0.7)
@@ -74,10 +74,10 @@
 """
         )
         sites = [
-            shift_world.Site(name, each, self.offered)
+            shift_simulation.Site(name, each, self.offered)
             for name in deployment.regions
         ]
-        self.world = shift_world.World(
+        self.world = shift_simulation.Simulation(
             self.tables, sites, nodes=3, keys=KEYS, seed=seed,
             clocks_s=(0.0, 1.0, -1.0),
         )  # fmt: skip
@@ -86,12 +86,12 @@
     def until(self, case, want):
         """Return the row of a case that ends when `want` is true."""
         world = self.world
-        world.forget()
+        world.reset_cap_measurement()
         began, refused, free = world.now, 0.0, 1.0
         ended = None
         while world.now - began < MAX_MINUTES * 60:
             world.step()
-            refused = max(refused, world.share(shift_world.REFUSED))
+            refused = max(refused, world.share(shift_simulation.REFUSED))
             free = min(free, *(self._free(n) for n in world.sites))
             if ended is None and want(world):
                 ended = world.now - began
@@ -119,7 +119,7 @@
         def whole(world):
             return world.served[first] > offered * 0.99
 
-        world.apply(shift_world.with_drains(self.tables, regions=(first,)))
+        world.apply(shift_simulation.with_drains(self.tables, regions=(first,)))
         yield self.until("region drained", empty)
         world.apply(self.tables)
         if empty(world):
--- a/bench/shift_world.py
+++ b/bench/shift_simulation.py
@@ -61,7 +61,7 @@
     return tries[offset::CANDIDATES]
 
 
-class World:
+class Simulation:
     """Nodes, regions and an operator.
 
     Args:
@@ -284,7 +284,7 @@
         )
         return sum(one for one in lost if one > 0)
 
-    def forget(self):
+    def reset_cap_measurement(self):
         """Begin to watch the cap anew, after what was urgent."""
         last = self._history[-1]
         self._history.clear()
--- a/tests/steps/core/steering/shares_steps.py
+++ b/tests/steps/core/steering/shares_steps.py
@@ -9,7 +9,7 @@
 from hypothesis import stateful
 from hypothesis import strategies
 
-from bench import shift_world
+from bench import shift_simulation
 from hyssopfold import tables
 
 CAP = 0.1
@@ -25,11 +25,13 @@
 OFFERED = 5.0
 EDITS = {
     "no drain": FIRST,
-    "drain dar": shift_world.with_drains(FIRST, regions=("dar",)),
-    "drain mwanza": shift_world.with_drains(FIRST, regions=("mwanza",)),
-    "drain dar-1": shift_world.with_drains(FIRST, failure_domains=("dar-1",)),
+    "drain dar": shift_simulation.with_drains(FIRST, regions=("dar",)),
+    "drain mwanza": shift_simulation.with_drains(FIRST, regions=("mwanza",)),
+    "drain dar-1": shift_simulation.with_drains(
+        FIRST, failure_domains=("dar-1",)
+    ),
     **{
-        f"weights {a} {b} {c}": shift_world.with_weights(
+        f"weights {a} {b} {c}": shift_simulation.with_weights(
             FIRST, dict(zip(NAMES, (a, b, c), strict=True))
         )
         for a, b, c in ((1, 1, 1), (3, 1, 1), (1, 3, 1))
@@ -38,10 +40,12 @@
 
 
 def _world(clocks_s=(0.0,), first=FIRST, keys=40):
-    sites = [shift_world.Site(name, 24.0, OFFERED) for name in NAMES]
-    world = shift_world.World(first, sites, keys=keys, clocks_s=clocks_s)
+    sites = [shift_simulation.Site(name, 24.0, OFFERED) for name in NAMES]
+    world = shift_simulation.Simulation(
+        first, sites, keys=keys, clocks_s=clocks_s
+    )
     world.run(20)
-    world.forget()
+    world.reset_cap_measurement()
     return world
 
 
@@ -113,7 +117,7 @@
 @when("{region} comes back to the shares for {minutes:d} minutes")
 def _(context, region, minutes):
     context.world.restore(region)
-    context.world.forget()
+    context.world.reset_cap_measurement()
     context.world.run(minutes * 60)
 
 
@@ -135,7 +139,7 @@
 @then("{region} is empty and nothing was refused")
 def _(context, region):
     assert context.world.share(region) == 0.0, context.world.served
-    assert context.world.share(shift_world.REFUSED) == 0.0
+    assert context.world.share(shift_simulation.REFUSED) == 0.0
 
 
 @then("what callers saw moved under the cap, give or take chance")
@@ -188,7 +192,7 @@
     world.run(60)
     world.restore("dar")
     world.run(20)
-    world.forget()
+    world.reset_cap_measurement()
 
 
 @when("a shares entry of dar restarts as dar is lost, and dar comes back")
@@ -199,7 +203,7 @@
     world.lose("dar")
     world.run(2)
     world.restore("dar")
-    world.forget()
+    world.reset_cap_measurement()
 
 
 @when("that shares entry runs again for {minutes:d} minutes")
@@ -247,7 +251,7 @@
         if not self.world.lost:
             self.world.lose(region)
             self.world.run(1)
-            self.world.forget()
+            self.world.reset_cap_measurement()
 
     @stateful.rule()
     def restore(self):
@@ -264,7 +268,7 @@
         if smaller:
             # Servers that go are no decision of ours.
             self.world.run(1)
-            self.world.forget()
+            self.world.reset_cap_measurement()
 
     @stateful.rule(seconds=strategies.integers(1, 200))
     def pass_time(self, seconds):
--- a/tests/steps/entry/steering_steps.py
+++ b/tests/steps/entry/steering_steps.py
@@ -7,7 +7,7 @@
 import trio
 import trio.testing
 
-from bench import shift_world
+from bench import shift_simulation
 from hyssopfold import state
 from hyssopfold import tables
 from hyssopfold.core.membership import directory
@@ -84,7 +84,7 @@
 
 @when("steering hears of a drain of dar and {minutes:d} minutes pass")
 def _(context, minutes):
-    drained = shift_world.with_drains(TABLES, regions=("dar",))
+    drained = shift_simulation.with_drains(TABLES, regions=("dar",))
     held = plans.after_edit(state.State(TABLES), drained, 0.0)
     context.configuration.snapshot = configuration.Snapshot(2, held)
     for entry in context.entries:
