--- a/hyssopfold/core/steering/__init__.py
+++ b/hyssopfold/core/steering/__init__.py
@@ -1,1 +1,1 @@
-"""Which entry and which region a caller's request goes to."""
+"""Traffic steering: selection of the entry and the region of a request."""
--- a/hyssopfold/core/steering/layouts.py
+++ b/hyssopfold/core/steering/layouts.py
@@ -1,4 +1,4 @@
-"""What the tables want of a pool's traffic, and how far two wishes differ."""
+"""Layouts: how the tables distribute a pool's traffic, and their distance."""
 
 from collections.abc import Iterable
 import functools
@@ -10,7 +10,7 @@
 def of_pool(
     tables: tables_module.Tables, pool: tables_module.Pool
 ) -> state.Layout:
-    """Return where the tables want the traffic of `pool`."""
+    """Return the distribution of the traffic of `pool` that the tables ask for."""
     routes = tuple(
         state.RouteWeights(route.name, _normalised(route.weights))
         for route in tables.routes
@@ -26,13 +26,13 @@
 def without_regions(
     layout: state.Layout, regions: Iterable[str]
 ) -> state.Layout:
-    """Return `layout` with more regions closed."""
+    """Return `layout` with `regions` closed as well."""
     closed = tuple(sorted({*layout.closed_regions, *regions}))
     return layout._replace(closed_regions=closed)
 
 
 def reopened(layout: state.Layout) -> state.Layout:
-    """Return `layout` with nothing closed."""
+    """Return `layout` with all regions and failure domains open."""
     return layout._replace(closed_regions=(), closed_domains=())
 
 
@@ -40,51 +40,53 @@
     layout: state.Layout, route: str
 ) -> tuple[state.RegionWeight, ...] | None:
     """Return the weights of a route, or None when the layout lacks it."""
-    for row in layout.routes:
-        if row.route == route:
-            return row.weights
+    for route_weights in layout.routes:
+        if route_weights.route == route:
+            return route_weights.weights
     return None
 
 
 @functools.lru_cache(maxsize=1024)
-def distance(one: state.Layout, other: state.Layout) -> float:
-    """Return the most of any route's traffic, 0 to 1, that sits elsewhere.
-
-    It bounds the share of the pool's traffic that moves when requests go by
-    `other` in place of `one`, whatever part of it each route and each home
-    region has. Nothing measured enters, so nothing that lags or lies can
-    widen it. Where the share of a home region or a failure domain decides,
-    which the tables don't tell, it is 1.
+def distance(old: state.Layout, new: state.Layout) -> float:
+    """Return the largest share of a route's traffic, 0 to 1, that moves.
+
+    It is an upper bound of the share of the pool's traffic that moves when
+    requests are decided by `new` instead of `old`, whatever shares the routes
+    and the home regions have. It uses no measurements, so late or wrong
+    measurements can't raise the bound. It is 1 where the result depends on the
+    share of a home region or a failure domain, which the tables don't contain.
     """
-    if one == other:
+    if old == new:
         return 0.0
-    if one.closed_domains != other.closed_domains:
+    if old.closed_domains != new.closed_domains:
         return 1.0
-    most = 0.0
-    for row in one.routes:
-        weights = weights_of(other, row.route)
-        if weights is not None:
-            before = open_weights(row.weights, one.closed_regions)
-            after = open_weights(weights, other.closed_regions)
-            same = one.closed_regions == other.closed_regions
-            most = max(most, _row_distance(before, after, same))
-    return most
+    max_distance = 0.0
+    for route_weights in old.routes:
+        new_weights = weights_of(new, route_weights.route)
+        if new_weights is not None:
+            before = open_weights(route_weights.weights, old.closed_regions)
+            after = open_weights(new_weights, new.closed_regions)
+            same = old.closed_regions == new.closed_regions
+            max_distance = max(
+                max_distance, _route_distance(before, after, same)
+            )
+    return max_distance
 
 
 def open_weights(
     weights: tuple[state.RegionWeight, ...], closed: tuple[str, ...]
 ) -> dict[str, float]:
-    """Return the shares of the open regions; empty means nearest first."""
-    left = {one.region: one.weight for one in weights}
+    """Return the shares of the open regions; if empty, the nearest is first."""
+    open_by_region = {row.region: row.weight for row in weights}
     for region in closed:
-        left.pop(region, None)
-    total = sum(left.values())
+        open_by_region.pop(region, None)
+    total = sum(open_by_region.values())
     if total <= 0:
         return {}
-    return {region: weight / total for region, weight in left.items()}
+    return {region: weight / total for region, weight in open_by_region.items()}
 
 
-def _row_distance(
+def _route_distance(
     before: dict[str, float], after: dict[str, float], same_closed: bool
 ) -> float:
     if not before and not after:
--- a/hyssopfold/core/steering/link_pacing.py
+++ b/hyssopfold/core/steering/link_pacing.py
@@ -1,9 +1,9 @@
-"""Pacing of bytes on the links between regions: what is bulk waits its turn.
+"""Pacing of bulk traffic on the links between regions.
 
-Each entry holds an equal part of a link, by the number of entries at its two
-ends, so that no message is needed and the part of one that is lost goes to
-the others when its lease ends. Bulk gets a share of that part; what is
-interactive never waits, and what it uses is taken off the bulk's room.
+Each entry uses an equal part of a link, computed from the number of entries at
+its two ends. Entries need no messages for this, and the part of a lost entry
+goes to the others when its lease ends. Bulk traffic gets a share of that part.
+Interactive traffic never waits; its bytes reduce the rate left for bulk.
 """
 
 BULK_SHARE = 0.8
@@ -13,7 +13,7 @@
 
 
 def bulk_rate_bytes_s(cap_mbit: float, entries: int) -> float:
-    """Return the bytes a second that one entry's bulk may put on a link.
+    """Return the bytes a second of bulk that an entry may send on a link.
 
     Args:
         cap_mbit: Capacity of the link each way, in Mbit/s.
@@ -23,7 +23,7 @@
 
 
 class LinkPacer:
-    """This entry's part of the link to one region.
+    """Pacer of this entry's part of the link to one region.
 
     Args:
         rate_bytes_s: Bytes a second, above 0.
@@ -31,22 +31,22 @@
 
     def __init__(self, rate_bytes_s: float) -> None:
         self.rate_bytes_s = rate_bytes_s
-        # When all that was let through will have passed at the rate.
-        self._passed_at = 0.0
+        # Time at which all reserved bytes have been sent at the rate.
+        self._drained_at = 0.0
 
     def reserve(self, size: int, bulk: bool, now: float) -> float:
-        """Return the seconds to wait until `size` bytes may pass.
+        """Reserve `size` bytes and return the seconds to wait before sending.
 
         Args:
-            size: Bytes.
-            bulk: Whether they belong to a large body.
+            size: Number of bytes.
+            bulk: Whether they are bulk, that is, part of a large body.
             now: Monotonic time in seconds.
         """
-        begins = max(self._passed_at, now - BURST_S)
-        # An interactive burst must not bar bulk for longer than a second.
-        most = begins if bulk else max(begins, now + 1.0)
-        ends = begins + size / self.rate_bytes_s
-        self._passed_at = ends if bulk else min(ends, most)
-        wait_s = max(0.0, begins - now) if bulk else 0.0
+        starts_at = max(self._drained_at, now - BURST_S)
+        # An interactive burst delays bulk by 1 s at most.
+        latest_end = starts_at if bulk else max(starts_at, now + 1.0)
+        ends_at = starts_at + size / self.rate_bytes_s
+        self._drained_at = ends_at if bulk else min(ends_at, latest_end)
+        wait_s = max(0.0, starts_at - now) if bulk else 0.0
         assert bulk or not wait_s
         return wait_s
--- a/hyssopfold/core/steering/plans.py
+++ b/hyssopfold/core/steering/plans.py
@@ -1,9 +1,10 @@
-"""Plans of shifts: how an edit makes them, and the shares in force under one.
+"""Plans of shifts: how an edit creates them, and the mixture of a plan.
 
-A pool's requests are decided by a mixture of layouts. A shift turns the
-mixture that is in force into the new layout along a straight line, so the
-traffic that moved is at most the progress times the distance to go; replacing
-a plan midway starts from the mixture in force and nothing jumps.
+A pool's requests are decided by a mixture of layouts, each with its share of
+the requests. A shift turns the mixture in force into the new layout by linear
+interpolation, so the traffic that has moved is at most the progress times the
+distance. A plan that replaces another midway starts from the mixture in force,
+so the shares don't jump.
 """
 
 from collections.abc import Mapping
@@ -16,7 +17,7 @@
 
 MAX_PARTS = 32
 _MINUTE_S = 60.0
-_NEGLIGIBLE = 1e-9
+_MIN_SHARE = 1e-9
 
 Mixture = Mapping[state.Layout, float]
 
@@ -24,16 +25,16 @@
 def after_edit(
     old: state.State, new: tables_module.Tables, utc_s: float
 ) -> state.State:
-    """Return the state to submit for an edit of `old`'s tables.
+    """Return the state to submit for an edit of the tables of `old`.
 
     Args:
-        old: State at the revision that the edit expects.
+        old: State at the revision on which the edit is based.
         new: Tables of the edit.
-        utc_s: UTC in seconds since 1970, the start of the plans it makes.
+        utc_s: UTC in seconds since 1970; new plans start then.
 
     Raises:
-        InvalidDocumentError: if a pool would have too many changes of shares
-            under way at once.
+        InvalidDocumentError: if a pool would have too many unfinished changes
+            of shares at once.
     """
     shifts = []
     for pool in new.pools:
@@ -53,21 +54,21 @@
     if pool_before is None:
         return None
     plan = find_shift(old.shifts, pool.name)
-    before = layouts.of_pool(old.tables, pool_before)
+    old_target = layouts.of_pool(old.tables, pool_before)
     target = layouts.of_pool(new, pool)
-    source = {before: 1.0} if plan is None else mixture_at(plan, utc_s)
-    if plan is not None and target == before and source != {target: 1.0}:
-        unchanged = (pool_before.shift_cap, pool_before.warm_up_s) == (
+    source = {old_target: 1.0} if plan is None else mixture_at(plan, utc_s)
+    if plan is not None and target == old_target and source != {target: 1.0}:
+        has_same_limits = (pool_before.shift_cap, pool_before.warm_up_s) == (
             pool.shift_cap,
             pool.warm_up_s,
         )
-        if unchanged:
+        if has_same_limits:
             return plan
     to_go = distance_to(source, target)
-    if to_go <= _NEGLIGIBLE:
+    if to_go <= _MIN_SHARE:
         return None
     if len(source) > MAX_PARTS:
-        _raise_too_many(pool)
+        _raise_too_many_parts(pool)
     parts = tuple(
         state.Part(layout, share) for layout, share in sorted(source.items())
     )
@@ -75,7 +76,7 @@
     return state.Shift(pool.name, parts, target, utc_s, rate)
 
 
-def _raise_too_many(pool: tables_module.Pool) -> NoReturn:
+def _raise_too_many_parts(pool: tables_module.Pool) -> NoReturn:
     fault = errors.Fault(
         "tables",
         1,
@@ -89,8 +90,8 @@
 def _rate_per_minute(pool: tables_module.Pool, to_go: float) -> float:
     rate = pool.shift_cap / to_go
     if pool.warm_up_s > 0:
-        # A move faster than the warm-up lands on cold servers: they would
-        # shed what they cannot take yet.
+        # A shift faster than the warm-up would overload cold servers, which
+        # then shed requests.
         rate = min(rate, _MINUTE_S / pool.warm_up_s)
     return rate
 
@@ -98,7 +99,7 @@
 def find_shift(
     shifts: tuple[state.Shift, ...], pool: str
 ) -> state.Shift | None:
-    """Return the plan of a pool."""
+    """Return the plan of a pool, or None if it has none."""
     for shift in shifts:
         if shift.pool == pool:
             return shift
@@ -106,54 +107,67 @@
 
 
 def progress(shift: state.Shift, age_s: float) -> float:
-    """Return the share of requests, 0 to 1, that the target decides."""
-    done = max(0.0, age_s) * shift.rate_per_minute / _MINUTE_S
-    return min(1.0, done)
+    """Return the share of requests, 0 to 1, that the target layout decides.
+
+    Args:
+        shift: The plan.
+        age_s: Seconds since the start of the plan.
+    """
+    decided_share = max(0.0, age_s) * shift.rate_per_minute / _MINUTE_S
+    return min(1.0, decided_share)
 
 
 def mixture_at(shift: state.Shift, utc_s: float) -> Mixture:
-    """Return the mixture that the plan wants at a time of day, UTC."""
+    """Return the planned mixture at `utc_s`, UTC in seconds since 1970."""
     return mixture_at_age(shift, utc_s - shift.start_s)
 
 
 def mixture_at_age(shift: state.Shift, age_s: float) -> Mixture:
-    """Return the mixture that the plan wants `age_s` seconds after start."""
+    """Return the planned mixture `age_s` seconds after the plan's start."""
     source = {part.layout: part.share for part in shift.source}
     return mix(source, {shift.target: 1.0}, progress(shift, age_s))
 
 
-def mix(one: Mixture, other: Mixture, share: float) -> Mixture:
-    """Return `one` with `share` of its requests decided by `other`."""
-    mixed: dict[state.Layout, float] = {}
-    for mixture, weight in ((one, 1.0 - share), (other, share)):
-        for layout, part in mixture.items():
-            mixed[layout] = mixed.get(layout, 0.0) + part * weight
-    kept = {
-        layout: part for layout, part in mixed.items() if part > _NEGLIGIBLE
+def mix(base: Mixture, added: Mixture, share: float) -> Mixture:
+    """Return `base` with `share` of its requests decided by `added`."""
+    shares: dict[state.Layout, float] = {}
+    for mixture, weight in ((base, 1.0 - share), (added, share)):
+        for layout, layout_share in mixture.items():
+            shares[layout] = shares.get(layout, 0.0) + layout_share * weight
+    significant = {
+        layout: layout_share
+        for layout, layout_share in shares.items()
+        if layout_share > _MIN_SHARE
+    }
+    total = sum(significant.values())
+    return {
+        layout: layout_share / total
+        for layout, layout_share in significant.items()
     }
-    total = sum(kept.values())
-    return {layout: part / total for layout, part in kept.items()}
 
 
 def distance_to(source: Mixture, target: state.Layout) -> float:
-    """Return the most of the pool's traffic that has yet to move, 0 to 1."""
+    """Return an upper bound of the pool's traffic yet to move, 0 to 1."""
     return sum(
         share * layouts.distance(layout, target)
         for layout, share in source.items()
     )
 
 
-def moved_share(one: Mixture, other: Mixture) -> float:
-    """Return the most of the pool's traffic that moves from one to other."""
-    gained = [
+def moved_share(before: Mixture, after: Mixture) -> float:
+    """Return an upper bound of the traffic that moves between two mixtures.
+
+    It is a share of the pool's traffic, 0 to 1.
+    """
+    growing = [
         layout
-        for layout, share in other.items()
-        if share > one.get(layout, 0.0) + _NEGLIGIBLE
+        for layout, share in after.items()
+        if share > before.get(layout, 0.0) + _MIN_SHARE
     ]
     moved = 0.0
-    for layout, share in one.items():
-        lost = share - other.get(layout, 0.0)
-        if lost > _NEGLIGIBLE:
-            far = [layouts.distance(layout, to) for to in gained]
-            moved += lost * max(far, default=0.0)
+    for layout, share in before.items():
+        loss = share - after.get(layout, 0.0)
+        if loss > _MIN_SHARE:
+            distances = [layouts.distance(layout, target) for target in growing]
+            moved += loss * max(distances, default=0.0)
     return moved
--- a/hyssopfold/core/steering/splits.py
+++ b/hyssopfold/core/steering/splits.py
@@ -1,4 +1,4 @@
-"""Which of several pools a request of a split route goes to."""
+"""Selection of the pool for a request of a split route."""
 
 from collections.abc import Mapping
 
@@ -6,23 +6,23 @@
 
 
 def pick(split: Mapping[str, float], request_id: str) -> str:
-    """Return a pool, each for its share of the requests.
+    """Return the pool of a request, chosen at random by weight.
 
-    The draw comes from the request's id: every entry draws alike, and the
-    shares hold whatever the objects are that the requests concern.
+    The random number is a hash of the request's id, so all entries choose the
+    same pool, and the shares don't depend on the objects that requests concern.
 
     Args:
-        split: Weight of each pool, one of them above 0.
+        split: Weight of each pool, at least one of them above 0.
         request_id: Id of the request.
     """
     draw = regions.to_fraction(regions.hash_draws(f"split {request_id}")[0])
-    left = draw * sum(split.values())
+    remaining = draw * sum(split.values())
     chosen = ""
-    for name, weight in sorted(split.items()):
+    for pool, weight in sorted(split.items()):
         if weight <= 0:
             continue
-        chosen = name
-        left -= weight
-        if left < 0:
+        chosen = pool
+        remaining -= weight
+        if remaining < 0:
             break
     return chosen
