--- a/hyssopfold/core/steering/layouts.py
+++ b/hyssopfold/core/steering/layouts.py
@@ -10,7 +10,7 @@
 def of_pool(
     tables: tables_module.Tables, pool: tables_module.Pool
 ) -> state.Layout:
-    """Return the distribution of the traffic of `pool` that the tables ask for."""
+    """Return the layout that the tables ask for the traffic of `pool`."""
     routes = tuple(
         state.RouteWeights(route.name, _normalised(route.weights))
         for route in tables.routes
--- a/hyssopfold/core/steering/lookup.py
+++ b/hyssopfold/core/steering/lookup.py
@@ -1,4 +1,4 @@
-"""Which entries a caller should use, best first."""
+"""Ranking of the entries that a caller should use, by consistent hashing."""
 
 import bisect
 from collections import defaultdict
@@ -12,77 +12,79 @@
 from hyssopfold.core.membership import messages
 
 MAX_ENTRIES = 4
-NEAR_ENTRIES = 3
-POINTS = 32
-_STEPS = 4
-_BUSY = 1.5
+FIRST_REGION_ENTRIES = 3
+POINTS_PER_ENTRY = 32
+_POINT_STEPS = 4
+_BUSY_FACTOR = 1.5
 _IDLE_LOAD = 8.0
 _MIN_TTL_S = 1.0
 
 
 class _Ring(NamedTuple):
-    """Points of a region's entries on a circle of 32 bits, sorted."""
+    """Consistent hash ring of a region's entries: sorted points of 32 bits."""
 
     points: list[int]
     entries: list[messages.Instance]
 
 
 class EntryIndex:
-    """The entries that may be named, arranged for quick answers.
+    """Ready entries in one consistent hash ring for each region.
 
-    An entry stands with many points on the circle of its region. A caller gets
-    the entry after the hash of its address, so callers spread evenly and keep
-    their entry while it lives; one that is far busier than the others of its
-    region loses points, and with them some callers and never all.
+    The look-up service uses it to answer callers. An entry has several points
+    on the ring of its region. A caller gets the entry at the next point after
+    the hash of its address, so callers are spread evenly and keep their entry
+    while it is ready. An entry with a far higher load than the others of its
+    region gets fewer points: it loses some callers, but never all.
     """
 
     def __init__(self) -> None:
         self._rings: dict[str, _Ring] = {}
-        self._key: object = None
+        self._contents: object = None
         self.is_changing = False
 
     def update(self, instances: Iterable[messages.Instance]) -> bool:
-        """Arrange the entries anew if any changed; return whether they did.
+        """Rebuild the rings if any entry changed; return whether they did.
 
         Args:
-            instances: All instances known, of any role and state.
+            instances: All instances of the directory, of any role and state.
         """
-        entries = [one for one in instances if one.role == "entry"]
-        # Entries that start or stop: callers should soon ask again.
-        self.is_changing = any(one.state != "ready" for one in entries)
+        entries = [entry for entry in instances if entry.role == "entry"]
+        # While entries start or stop, answers are cached for a shorter time.
+        self.is_changing = any(entry.state != "ready" for entry in entries)
         by_region = defaultdict(list)
-        for one in entries:
-            if one.state == "ready":
-                by_region[one.region].append(one)
-        points = {
-            one.name: _points(one.load, _mean_load(near))
-            for near in by_region.values()
-            for one in near
+        for entry in entries:
+            if entry.state == "ready":
+                by_region[entry.region].append(entry)
+        point_counts = {
+            entry.name: _point_count(entry.load, _mean_load(region_entries))
+            for region_entries in by_region.values()
+            for entry in region_entries
         }
-        key = sorted(
-            (one.name, one.address, one.region, points[one.name])
-            for near in by_region.values()
-            for one in near
+        contents = sorted(
+            (entry.name, entry.address, entry.region, point_counts[entry.name])
+            for region_entries in by_region.values()
+            for entry in region_entries
         )
-        if key == self._key:
+        if contents == self._contents:
             return False
-        self._key = key
+        self._contents = contents
         self._rings = {
-            region: _ring(near, points) for region, near in by_region.items()
+            region: _build_ring(region_entries, point_counts)
+            for region, region_entries in by_region.items()
         }
         return True
 
     def in_first_region(
         self, regions: Sequence[str]
     ) -> list[messages.Instance]:
-        """Return all entries of the first region that has any.
+        """Return all entries of the first region that has ready entries.
 
         Args:
-            regions: Regions by preference.
+            regions: Regions in order of preference.
         """
-        for name in regions:
-            if name in self._rings:
-                entries = self._rings[name].entries
+        for region in regions:
+            if region in self._rings:
+                entries = self._rings[region].entries
                 return list(dict.fromkeys(entries))
         return []
 
@@ -91,85 +93,98 @@
     ) -> list[messages.Instance]:
         """Return up to `MAX_ENTRIES` entries for a caller, best first.
 
-        Most are of the first region that has any, spread over its failure
-        domains; the last one is of the next region, for a caller whose whole
-        region is lost while it holds this answer.
+        Most are of the first region that has ready entries, spread over its
+        failure domains. The last is of the next region, in case the first
+        region is lost while the caller has the answer cached.
 
         Args:
             client: The caller's address.
-            regions: Regions by preference.
+            regions: Regions in order of preference.
         """
-        at = zlib.crc32(client.encode())
-        found: list[messages.Instance] = []
-        rings = [self._rings[name] for name in regions if name in self._rings]
+        point = zlib.crc32(client.encode())
+        ranked: list[messages.Instance] = []
+        rings = [
+            self._rings[region] for region in regions if region in self._rings
+        ]
         for index, ring in enumerate(rings):
-            last = index == len(rings) - 1
-            room = MAX_ENTRIES if last else max(NEAR_ENTRIES, len(found) + 1)
-            found += _walk(ring, at, room - len(found))
-            if len(found) >= MAX_ENTRIES:
+            is_last = index == len(rings) - 1
+            limit = (
+                MAX_ENTRIES
+                if is_last
+                else max(FIRST_REGION_ENTRIES, len(ranked) + 1)
+            )
+            ranked += _select_entries(ring, point, limit - len(ranked))
+            if len(ranked) >= MAX_ENTRIES:
                 break
-        return found[:MAX_ENTRIES]
+        return ranked[:MAX_ENTRIES]
 
 
-def ttl_s(usual_s: float, changing: bool) -> float:
-    """Return the seconds that an answer may be cached.
+def ttl_s(normal_s: float, is_changing: bool) -> float:
+    """Return the seconds for which an answer may be cached.
 
-    Never more than `usual_s`: an entry that stops serves until every answer
-    that named it has expired.
+    Never more than `normal_s`: a stopping entry serves until every cached
+    answer that contains it has expired.
 
     Args:
-        usual_s: Seconds when nothing is under way.
-        changing: Whether a shift, a start or a stop is under way.
+        normal_s: Seconds when no change is in progress.
+        is_changing: Whether a shift, a start or a stop is in progress.
     """
-    if not changing:
-        return usual_s
-    return min(usual_s, max(_MIN_TTL_S, usual_s / 2))
+    if not is_changing:
+        return normal_s
+    return min(normal_s, max(_MIN_TTL_S, normal_s / 2))
 
 
 def _mean_load(entries: Sequence[messages.Instance]) -> float:
-    return sum(one.load for one in entries) / len(entries)
+    return sum(entry.load for entry in entries) / len(entries)
 
 
-def _points(load: float, mean: float) -> int:
-    """Return how many points an entry gets, in a few steps.
+def _point_count(load: float, mean_load: float) -> int:
+    """Return the number of an entry's points on the ring, in coarse steps.
 
-    Loads are a second old: the steps keep callers from following each report
-    from entry to entry.
+    Load reports are up to a second old. With coarse steps callers don't move
+    between entries after each report.
     """
-    fair = max(mean * _BUSY, _IDLE_LOAD)
-    if load <= fair:
-        return POINTS
-    step = math.ceil(_STEPS * fair / load)
-    return max(1, step) * POINTS // _STEPS
+    load_limit = max(mean_load * _BUSY_FACTOR, _IDLE_LOAD)
+    if load <= load_limit:
+        return POINTS_PER_ENTRY
+    step = math.ceil(_POINT_STEPS * load_limit / load)
+    return max(1, step) * POINTS_PER_ENTRY // _POINT_STEPS
 
 
-def _ring(
-    entries: Sequence[messages.Instance], points: dict[str, int]
+def _build_ring(
+    entries: Sequence[messages.Instance], point_counts: dict[str, int]
 ) -> _Ring:
-    placed = sorted(
-        (zlib.crc32(f"{number} {one.name}".encode()), one.name, one)
-        for one in entries
-        for number in range(points[one.name])
+    sorted_points = sorted(
+        (zlib.crc32(f"{number} {entry.name}".encode()), entry.name, entry)
+        for entry in entries
+        for number in range(point_counts[entry.name])
     )
-    return _Ring([item[0] for item in placed], [item[2] for item in placed])
+    return _Ring(
+        [item[0] for item in sorted_points], [item[2] for item in sorted_points]
+    )
+
 
+def _select_entries(
+    ring: _Ring, point: int, limit: int
+) -> list[messages.Instance]:
+    """Return up to `limit` entries from `point` on.
 
-def _walk(ring: _Ring, at: int, room: int) -> list[messages.Instance]:
-    """Return entries after a point; each of a new failure domain first."""
-    begin = bisect.bisect_right(ring.points, at)
+    The first entry of each failure domain precedes the others.
+    """
+    begin = bisect.bisect_right(ring.points, point)
     size = len(ring.points)
-    seen: dict[str, messages.Instance] = {}
+    visited: dict[str, messages.Instance] = {}
     domains: set[str] = set()
     chosen: list[messages.Instance] = []
     for index in itertools.islice(range(begin, begin + size), size):
-        one = ring.entries[index % size]
-        if one.name in seen:
+        entry = ring.entries[index % size]
+        if entry.name in visited:
             continue
-        seen[one.name] = one
-        if one.failure_domain not in domains:
-            domains.add(one.failure_domain)
-            chosen.append(one)
-        if len(chosen) == room or len(seen) >= 4 * room:
+        visited[entry.name] = entry
+        if entry.failure_domain not in domains:
+            domains.add(entry.failure_domain)
+            chosen.append(entry)
+        if len(chosen) == limit or len(visited) >= 4 * limit:
             break
-    others = [one for one in seen.values() if one not in chosen]
-    return (chosen + others)[:room]
+    others = [entry for entry in visited.values() if entry not in chosen]
+    return (chosen + others)[:limit]
--- a/hyssopfold/core/steering/regions.py
+++ b/hyssopfold/core/steering/regions.py
@@ -1,4 +1,4 @@
-"""Which regions may serve a request, best first, and where it is moved."""
+"""Order of the regions that may serve a request, and how shifts change it."""
 
 from collections.abc import Collection
 from collections.abc import Mapping
@@ -11,17 +11,17 @@
 from hyssopfold import state
 from hyssopfold.core.balancing import messages
 
-_FAR_MS = 1_000_000.0
-_DRAWS = struct.Struct(">16I")
-_SCALE = float(1 << 32)
+_UNKNOWN_DELAY_MS = 1_000_000.0
+_HASH_NUMBERS = struct.Struct(">16I")
+_HASH_RANGE = float(1 << 32)
 
 
 class SteeringContext(NamedTuple):
-    """From where a request is steered.
+    """What the order of regions depends on besides the request itself.
 
-    `home_region` is the caller's region, `regions_by_delay` all regions that have ready servers
-    of the pool, by their delay from the entry, and `domains` the failure
-    domains of these servers by region.
+    `home_region` is the caller's region, `regions_by_delay` all regions that
+    have ready servers of the pool, nearest to the entry first, and `domains`
+    the failure domains of these servers by region.
     """
 
     home_region: str
@@ -30,10 +30,11 @@
 
 
 class Decision(NamedTuple):
-    """Where a request may go, best first, and what a shift has to do with it.
+    """Regions that may serve a request, best first, and how a shift moved it.
 
-    `shifted` tells that a shift or drain took the request away from the region
-    `previous_region` or from the failure domains `closed_domains` in it.
+    `reason` is "moved" or "home". `shifted` is true if a shift or drain moved
+    the request out of the region `previous_region` or out of the failure
+    domains `closed_domains` in it.
     """
 
     regions: tuple[messages.Region, ...]
@@ -43,7 +44,10 @@
     closed_domains: tuple[str, ...] = ()
 
     def turned_back(self, region: str, domain: str) -> bool:
-        """Return whether the target had no room: it was served as before."""
+        """Return whether a moved request was served where it was before.
+
+        This happens when the target of the shift had no free slots.
+        """
         if domain in self.closed_domains:
             return True
         return (
@@ -53,37 +57,43 @@
 
 
 def hash_draws(key: str) -> tuple[int, ...]:
-    """Return 16 numbers of 32 bits that every node draws alike from a key.
+    """Return 16 pseudo-random numbers of 32 bits, a hash of a key.
 
-    The first picks the layout, the others the regions. They come from the
-    request's id, so the shares in force are exact over many requests and no
-    node needs to know what another has sent.
+    The first selects the layout, the others the regions. The key contains the
+    request's id: all nodes get the same numbers, the shares in force are exact
+    over many requests, and no node needs to know the requests of the others.
     """
-    digest = hashlib.blake2b(key.encode(), digest_size=_DRAWS.size).digest()
-    return _DRAWS.unpack(digest)
+    digest = hashlib.blake2b(
+        key.encode(), digest_size=_HASH_NUMBERS.size
+    ).digest()
+    return _HASH_NUMBERS.unpack(digest)
 
 
 def to_fraction(number: int) -> float:
-    """Return a number drawn as a share, above 0 and below 1."""
-    return (number + 0.5) / _SCALE
+    """Return a number of `hash_draws` as a fraction above 0 and below 1."""
+    return (number + 0.5) / _HASH_RANGE
 
 
 def by_delay(
-    mine: str, known: Collection[str], delays_ms: Mapping[str, float]
+    own_region: str,
+    ready_regions: Collection[str],
+    delays_ms: Mapping[str, float],
 ) -> tuple[str, ...]:
-    """Return the known regions, nearest to the entry first.
+    """Return the regions with ready servers, nearest to the entry first.
 
     Args:
-        mine: Region of the entry.
-        known: Regions that have ready servers.
-        delays_ms: One-way delay from `mine` to each other region.
+        own_region: Region of the entry.
+        ready_regions: Regions that have ready servers.
+        delays_ms: One-way delay from `own_region` to each other region.
     """
     return tuple(
         sorted(
-            known,
-            key=lambda name: (
-                0.0 if name == mine else delays_ms.get(name, _FAR_MS),
-                name,
+            ready_regions,
+            key=lambda region: (
+                0.0
+                if region == own_region
+                else delays_ms.get(region, _UNKNOWN_DELAY_MS),
+                region,
             ),
         )
     )
@@ -91,30 +101,32 @@
 
 def preference_order(
     weights: tuple[state.RegionWeight, ...],
-    place: SteeringContext,
+    ctx: SteeringContext,
     numbers: tuple[int, ...],
 ) -> tuple[str, ...]:
-    """Return the regions in the order that a request has for itself.
+    """Return the order of regions for a request, regardless of closed regions.
 
-    With weights it is drawn by weighted rendezvous hashing: each region is
-    first for its share of the requests, and when one is closed or lost, its
-    requests go to the others in proportion to their weights. Without, the
-    caller's own region goes first and the others by delay.
+    With weights, the order comes from weighted rendezvous hashing: each region
+    is first for its share of the requests, and when a region is closed or
+    lost, its requests go to the others in proportion to their weights. Without
+    weights, the caller's home region is first and the others follow by delay.
     """
     if not weights:
         others = tuple(
-            name for name in place.regions_by_delay if name != place.home_region
+            region
+            for region in ctx.regions_by_delay
+            if region != ctx.home_region
         )
-        return (place.home_region, *others)
+        return (ctx.home_region, *others)
     scores = [
-        (-math.log(to_fraction(number)) / one.weight, one.region)
-        for one, number in zip(weights, itertools.cycle(numbers[1:]))
+        (-math.log(to_fraction(number)) / row.weight, row.region)
+        for row, number in zip(weights, itertools.cycle(numbers[1:]))
     ]
     return tuple([region for _, region in sorted(scores)])
 
 
 def first_open(names: tuple[str, ...], layout: state.Layout) -> str:
-    """Return the first region that the layout leaves open, or the first."""
+    """Return the first region open in the layout; if none is, the first."""
     for name in names:
         if name not in layout.closed_regions:
             return name
@@ -122,47 +134,50 @@
 
 
 def closed_domains_in(
-    name: str, layout: state.Layout, place: SteeringContext
+    region: str, layout: state.Layout, ctx: SteeringContext
 ) -> tuple[str, ...]:
-    """Return the failure domains of a region that the layout closes."""
+    """Return the failure domains of a region that are closed in the layout."""
     if not layout.closed_domains:
         return ()
-    there = place.domains.get(name, ())
-    return tuple(one for one in layout.closed_domains if one in there)
+    region_domains = ctx.domains.get(region, ())
+    return tuple(
+        domain for domain in layout.closed_domains if domain in region_domains
+    )
 
 
 def candidates(
     layout: state.Layout,
     target: state.Layout,
     names: tuple[str, ...],
-    place: SteeringContext,
-    moved: bool,
+    ctx: SteeringContext,
+    is_shifting: bool,
 ) -> tuple[messages.Region, ...]:
-    """Return where a request that `layout` decides may go, best first.
+    """Return the regions that may serve a request under a layout, best first.
 
     Args:
-        layout: The layout that decides.
-        target: What the tables in force want; regions that it closes are
-            emptied, others are closed only because they just returned.
-        names: The request's own order, from `preference_order`.
-        place: From where it is steered.
-        moved: Whether a shift under way took it to the first open region.
+        layout: The layout that decides the request.
+        target: The layout of the tables in force. Regions closed in it are
+            being emptied; regions closed in `layout` alone have just come back.
+        names: The request's order of regions, from `preference_order`.
+        ctx: Home region and regions with ready servers.
+        is_shifting: Whether a shift in progress moved the request to the first
+            open region.
     """
     closed = layout.closed_regions
     first = names[0]
     regions = []
     for name in names:
         if name not in closed:
-            domains = closed_domains_in(name, layout, place)
-            away = moved or name != first or bool(domains)
-            regions.append(messages.Region(name, away, domains))
-    # A drain that no one has room for must not turn into refusals: what the
-    # others cannot take within their headroom stays where it was, and the
-    # drain waits.
-    if first in closed or closed_domains_in(first, layout, place):
+            domains = closed_domains_in(name, layout, ctx)
+            is_moved = is_shifting or name != first or bool(domains)
+            regions.append(messages.Region(name, is_moved, domains))
+    # A drain must not cause refusals: requests for which the other regions
+    # have no slots within their headroom stay where they were, and the drain
+    # waits.
+    if first in closed or closed_domains_in(first, layout, ctx):
         regions.append(messages.Region(first, False))
     regions += [
-        messages.Region(name, True, closed_domains_in(name, layout, place))
+        messages.Region(name, True, closed_domains_in(name, layout, ctx))
         for name in names[1:]
         if name in closed and name not in target.closed_regions
     ]
@@ -170,21 +185,21 @@
 
 
 def restrict(
-    found: tuple[messages.Region, ...],
-    only: Collection[str],
+    region_order: tuple[messages.Region, ...],
+    allowed_regions: Collection[str],
     evacuated: tuple[str, ...],
 ) -> tuple[messages.Region, ...]:
-    """Return the regions left to a request by its route and by evacuations.
+    """Restrict the regions of a request by its route and by evacuations.
 
     Args:
-        found: Regions that may serve it as far as shares decide.
-        only: Regions that its route allows; none means any.
-        evacuated: Failure domains whose servers get no more work.
+        region_order: Regions that may serve the request by the shares.
+        allowed_regions: Regions that its route allows; empty means any.
+        evacuated: Failure domains whose servers get no new requests.
     """
-    if not only and not evacuated:
-        return found
+    if not allowed_regions and not evacuated:
+        return region_order
     return tuple(
-        one._replace(closed_domains=one.closed_domains + evacuated)
-        for one in found
-        if not only or one.name in only
+        region._replace(closed_domains=region.closed_domains + evacuated)
+        for region in region_order
+        if not allowed_regions or region.name in allowed_regions
     )
--- a/hyssopfold/core/steering/shares.py
+++ b/hyssopfold/core/steering/shares.py
@@ -1,4 +1,9 @@
-"""The shares in force at one node: plans followed under the cap, or held."""
+"""The shares in force at one node: it follows the plans of shifts under a cap.
+
+Two words name the outcomes of requests that a shift moved. A request is gained
+if it was served at the target of the shift, and turned back if the target had
+no free slots and it was served where it was before.
+"""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -13,24 +18,24 @@
 from hyssopfold.core.steering import regions
 
 MAX_STEP_S = 1.0
-# Longer than a busy process misses its steps, shorter than any lease.
+# Longer than the delay of steps in a busy process, shorter than any lease.
 STALE_S = 3.0
-GRACE_S = 15.0
-WINDOW_S = 1.0
+START_GRACE_S = 15.0
+MIN_WINDOW_S = 1.0
 MAX_WINDOW_S = 10.0
-PROBE_S = 5.0
+HOLD_S = 5.0
 MIN_SAMPLES = 20
 HOLD_SHARE = 0.005
 RETREAT_SHARE = 0.05
 _MINUTE_S = 60.0
-_SLACK = 1.0 + 1e-6
+_ROUNDING_FACTOR = 1.0 + 1e-6
 _EPSILON = 1e-9
 
 Phase = Literal["settled", "moving", "waiting"]
 
 
 class PhaseChange(NamedTuple):
-    """Something to log: what a pool's shift does now, and why."""
+    """A changed phase or reason of a pool's shift, to be logged."""
 
     pool: str
     phase: Phase
@@ -42,11 +47,12 @@
 
 
 class Report(NamedTuple):
-    """A pool's shares at this node.
+    """A pool's shares at this node, for the status and for restarted nodes.
 
-    `parts` are the layouts in force, `target` what the tables want, `to_go`
-    the most of the pool's traffic that has yet to move (0 to 1) and `left_s`
-    the seconds until it has, if nothing makes it wait.
+    `parts` are the layouts in force, `target` is the layout of the tables,
+    `lost` the regions without ready servers, `to_go` an upper bound of the
+    pool's traffic that has yet to move (0 to 1) and `left_s` the seconds until
+    it has moved if the shift doesn't have to wait.
     """
 
     pool: str
@@ -59,172 +65,175 @@
     left_s: float
 
 
-class _Window:
-    """What became of the requests that a shift took elsewhere."""
+class _OutcomeWindow:
+    """Outcomes of the requests that a shift moved since `started_at`."""
 
     def __init__(self, now: float) -> None:
-        self.began = now
+        self.started_at = now
         self.gained = 0
         self.turned_back = 0
 
 
-class _Pool:
+class _PoolShares:
     """The mixture in force for one pool.
 
     Args:
-        row: The pool's row.
-        target: Layout that the tables want.
-        plan: Plan of its shift.
+        pool: The pool's row in the tables.
+        target: Layout of the tables.
+        plan: Plan of the pool's shift, if it has one.
         now: Monotonic time in seconds.
         utc_s: UTC in seconds since 1970.
     """
 
     def __init__(
         self,
-        row: tables_module.Pool,
+        pool: tables_module.Pool,
         target: state.Layout,
         plan: state.Shift | None,
         now: float,
         utc_s: float,
     ) -> None:
-        self.row = row
+        self.pool = pool
         self.target = target
         self.plan = plan
-        self.learned_at = now
+        self.plan_received_at = now
         self.lost: frozenset[str] = frozenset()
-        self.mixture = self._wanted(now, utc_s)
+        self.mixture = self._planned(now, utc_s)
         self.phase: Phase = "settled"
         self.reason = "started"
-        self.seen: set[str] = set()
+        self.ready_before: set[str] = set()
         self.ready: frozenset[str] = frozenset()
-        self._grace_until = now + GRACE_S
-        self._stepped_at = now
-        self._window = _Window(now)
+        self._start_grace_until = now + START_GRACE_S
+        self._last_step_at = now
+        self._window = _OutcomeWindow(now)
         self._held_until = 0.0
-        self._parts: list[tuple[state.Layout, float]] | None = None
-        self._weighted: dict[str, bool] = {}
-        self._decisions: dict[object, regions.Decision] = {}
+        self._part_cache: list[tuple[state.Layout, float]] | None = None
+        self._has_weights: dict[str, bool] = {}
+        self._decision_cache: dict[object, regions.Decision] = {}
 
     def update(
         self,
-        row: tables_module.Pool,
+        pool: tables_module.Pool,
         target: state.Layout,
         plan: state.Shift | None,
         now: float,
     ) -> None:
-        """Follow a newer revision from the mixture in force."""
+        """Follow a newer revision, starting from the mixture in force."""
         if plan != self.plan:
-            self.learned_at = now
-        self.row, self.target, self.plan = row, target, plan
-        self._parts = None
+            self.plan_received_at = now
+        self.pool, self.target, self.plan = pool, target, plan
+        self._part_cache = None
 
     def adopt(self, parts: Iterable[state.Part]) -> None:
-        """Go on from the shares in force at another node."""
+        """Take over the shares in force at another node."""
         mixture = {part.layout: part.share for part in parts}
         total = sum(mixture.values())
         if mixture and abs(total - 1.0) < 1e-3:
             self.mixture = plans.mix(mixture, mixture, 0.0)
-            self._parts = None
-            # The system runs already: from now on a region that comes is
-            # one that comes back, and is returned to by shift.
-            self._grace_until = -math.inf
+            self._part_cache = None
+            # The system is already running: a region that gets ready servers
+            # from now on has come back, and its traffic returns by a shift.
+            self._start_grace_until = -math.inf
 
     def step(
         self, now: float, utc_s: float, ready: frozenset[str]
     ) -> PhaseChange | None:
-        """Move on, hold or step back; return what is worth a log line."""
-        # A process that was frozen must not make up for the time at once:
-        # its share would jump. It goes on from where it was.
-        passed = min(max(0.0, now - self._stepped_at), MAX_STEP_S)
-        self._stepped_at = now
-        self._note_ready(ready, now)
+        """Move towards the plan, wait or retreat; return a change to log."""
+        # After a freeze the process must not move the share for all of the
+        # elapsed time at once: the share would jump.
+        elapsed_s = min(max(0.0, now - self._last_step_at), MAX_STEP_S)
+        self._last_step_at = now
+        self._update_ready(ready, now)
         window = self._window
-        self._judge(window, now)
-        before = (self.phase, self.reason)
-        self._move(now, utc_s, passed)
-        self._parts = None
-        if (self.phase, self.reason) == before:
+        self._evaluate_window(window, now)
+        previous = (self.phase, self.reason)
+        self._move(now, utc_s, elapsed_s)
+        self._part_cache = None
+        if (self.phase, self.reason) == previous:
             return None
         return PhaseChange(
-            self.row.name,
+            self.pool.name,
             self.phase,
             self.reason,
-            1.0 - plans.distance_to(self.mixture, self._final()),
+            1.0 - plans.distance_to(self.mixture, self._open_target()),
             tuple(sorted(self.lost)),
             window.gained,
             window.turned_back,
         )
 
-    def _move(self, now: float, utc_s: float, passed: float) -> None:
-        wanted = self._wanted(now, utc_s)
-        final = self._final()
-        to_go = plans.moved_share(self.mixture, wanted)
+    def _move(self, now: float, utc_s: float, elapsed_s: float) -> None:
+        planned = self._planned(now, utc_s)
+        open_target = self._open_target()
+        to_go = plans.moved_share(self.mixture, planned)
         if to_go <= _EPSILON:
-            self.mixture = wanted
-            left = plans.distance_to(wanted, final)
-            self.phase = "settled" if left <= _EPSILON else "moving"
+            self.mixture = planned
+            remaining = plans.distance_to(planned, open_target)
+            self.phase = "settled" if remaining <= _EPSILON else "moving"
             self.reason = "on-plan"
             return
         if now < self._held_until:
             self.phase, self.reason = "waiting", "no-headroom-at-target"
             return
-        budget = self._per_second() * passed
+        budget = self._rate_per_second() * elapsed_s
         step = min(1.0, budget / to_go)
-        moved = plans.mix(self.mixture, wanted, step)
+        mixture = plans.mix(self.mixture, planned, step)
         assert (
-            plans.moved_share(self.mixture, moved) <= budget * _SLACK + _EPSILON
+            plans.moved_share(self.mixture, mixture)
+            <= budget * _ROUNDING_FACTOR + _EPSILON
         )
-        assert abs(sum(moved.values()) - 1.0) < 1e-6
-        self.mixture = moved
+        assert abs(sum(mixture.values()) - 1.0) < 1e-6
+        self.mixture = mixture
         self.phase = "moving"
         self.reason = "on-plan" if step >= 1.0 else "under-cap"
 
-    def _per_second(self) -> float:
-        """Return the share of the pool's traffic that may move a second."""
-        rate = self.row.shift_cap
-        if self.row.warm_up_s > 0:
-            rate = min(rate, _MINUTE_S / self.row.warm_up_s)
+    def _rate_per_second(self) -> float:
+        """Return the share of the pool's traffic that may move in a second."""
+        rate = self.pool.shift_cap
+        if self.pool.warm_up_s > 0:
+            rate = min(rate, _MINUTE_S / self.pool.warm_up_s)
         return rate / _MINUTE_S
 
-    def _wanted(self, now: float, utc_s: float) -> plans.Mixture:
-        """Return the mixture of the plan, without the regions lost."""
+    def _planned(self, now: float, utc_s: float) -> plans.Mixture:
+        """Return the planned mixture with the lost regions closed."""
         if self.plan is None or self.plan.target != self.target:
             mixture: plans.Mixture = {self.target: 1.0}
         else:
-            # A plan can't be known before it starts: the time since it came
-            # bounds its age from below, so a clock behind cannot stop it.
-            # A clock ahead cannot hurry it: see `_move`.
-            age_s = max(utc_s - self.plan.start_s, now - self.learned_at)
+            # A plan is received after its start, so the time since then is a
+            # lower bound of its age, and a clock that is behind can't stop the
+            # shift. A clock that is ahead can't speed it up, see `_move`.
+            age_s = max(utc_s - self.plan.start_s, now - self.plan_received_at)
             mixture = plans.mixture_at_age(self.plan, age_s)
-        return _closed(mixture, self.lost)
+        return _close_regions(mixture, self.lost)
 
-    def _final(self) -> state.Layout:
+    def _open_target(self) -> state.Layout:
         return layouts.without_regions(self.target, self.lost)
 
-    def _note_ready(self, ready: frozenset[str], now: float) -> None:
-        """Leave a lost region at once; go back to one that returns by shift.
+    def _update_ready(self, ready: frozenset[str], now: float) -> None:
+        """Close lost regions at once; reopen returning regions by a shift.
 
-        Losing a region is no decision of ours. That its traffic comes back to
-        servers that were idle is one: without the shift all of it would land
-        on cold caches within a second.
+        The loss of a region is not a decision of the system, but the return of
+        its traffic to idle servers is: without a shift, all of it would reach
+        servers with cold caches within a second.
         """
-        come = ready - self.seen
-        if self.seen and not self.ready:
-            # Nothing was served anywhere: there is no traffic to shift.
+        new_regions = ready - self.ready_before
+        if self.ready_before and not self.ready:
+            # No region had ready servers, so there is no traffic to shift.
             self.mixture = {self.target: 1.0}
             self.lost = frozenset()
-        elif come and self.seen and now >= self._grace_until:
-            self.mixture = _closed(self.mixture, come)
-        self.seen |= come
-        lost = frozenset(self.seen - ready)
-        self.mixture = _closed(self.mixture, lost - self.lost)
+        elif (
+            new_regions and self.ready_before and now >= self._start_grace_until
+        ):
+            self.mixture = _close_regions(self.mixture, new_regions)
+        self.ready_before |= new_regions
+        lost = frozenset(self.ready_before - ready)
+        self.mixture = _close_regions(self.mixture, lost - self.lost)
         self.lost = lost
         self.ready = ready
 
     def record_outcome(
         self, decision: regions.Decision, region: str, domain: str
     ) -> None:
-        """Count what became of a request that a shift took elsewhere."""
+        """Count the outcome of a request that a shift moved."""
         if not decision.shifted:
             return
         if decision.turned_back(region, domain):
@@ -232,189 +241,206 @@
         else:
             self._window.gained += 1
 
-    def _judge(self, window: _Window, now: float) -> None:
-        """Hold, or step back to what was served, when targets had no room.
+    def _evaluate_window(self, window: _OutcomeWindow, now: float) -> None:
+        """Hold or reduce the shift when its targets have no free slots.
 
-        Were the share to go on by the clock while its requests are served
-        where they were, all that was held up would move in one instant once
-        the target has room, far above the cap.
+        If the share followed the clock while its requests are turned back, all
+        of these requests would move at once as soon as the target has free
+        slots, far above the cap.
         """
         total = window.gained + window.turned_back
-        age_s = now - window.began
+        age_s = now - window.started_at
         if window.turned_back > HOLD_SHARE * total:
-            self._held_until = now + PROBE_S
-        few = total < MIN_SAMPLES and age_s < MAX_WINDOW_S
-        if age_s < WINDOW_S or few:
+            self._held_until = now + HOLD_S
+        too_few = total < MIN_SAMPLES and age_s < MAX_WINDOW_S
+        if age_s < MIN_WINDOW_S or too_few:
             return
         if window.turned_back > RETREAT_SHARE * total:
-            self.mixture = self._stepped_back(window.turned_back / total)
-        self._window = _Window(now)
-
-    def _stepped_back(self, share: float) -> plans.Mixture:
-        final = self._final()
-        decided = self.mixture.get(final, 0.0)
-        rest = {k: v for k, v in self.mixture.items() if k != final}
-        if not rest:
-            rest = {layouts.reopened(self.target): 1.0}
-        total = sum(rest.values())
-        back = {layout: part / total for layout, part in rest.items()}
-        kept = decided * (1.0 - share)
-        return plans.mix({final: 1.0}, back, 1.0 - kept)
+            self.mixture = self._retreated(window.turned_back / total)
+        self._window = _OutcomeWindow(now)
+
+    def _retreated(self, share: float) -> plans.Mixture:
+        open_target = self._open_target()
+        target_share = self.mixture.get(open_target, 0.0)
+        others = {
+            layout: layout_share
+            for layout, layout_share in self.mixture.items()
+            if layout != open_target
+        }
+        if not others:
+            others = {layouts.reopened(self.target): 1.0}
+        total = sum(others.values())
+        source = {
+            layout: layout_share / total
+            for layout, layout_share in others.items()
+        }
+        kept_share = target_share * (1.0 - share)
+        return plans.mix({open_target: 1.0}, source, 1.0 - kept_share)
 
     def decide(
         self,
         route: tables_module.Route,
-        place: regions.SteeringContext,
+        ctx: regions.SteeringContext,
         key: str,
     ) -> regions.Decision:
-        """Return where a request may go, best first."""
+        """Return the regions that may serve a request, best first."""
         numbers = regions.hash_draws(key)
-        layout = _pick(self._ranked(), regions.to_fraction(numbers[0]))
-        weighted = self._weighted.get(route.name, True)
-        names = self._names(layout, route, place, numbers) if weighted else ()
-        cached = (
+        layout = _select_layout(
+            self._sorted_parts(), regions.to_fraction(numbers[0])
+        )
+        has_weights = self._has_weights.get(route.name, True)
+        names = (
+            self._preference_order(layout, route, ctx, numbers)
+            if has_weights
+            else ()
+        )
+        cache_key = (
             layout,
             route.name,
-            place.home_region,
-            place.regions_by_delay,
+            ctx.home_region,
+            ctx.regions_by_delay,
             names,
         )
-        decision = self._decisions.get(cached)
-        # With weights `old` differs from request to request of one order, so
-        # only a mixture at rest can be answered from the cache.
-        if decision is not None and (not weighted or len(self.mixture) == 1):
+        decision = self._decision_cache.get(cache_key)
+        # With weights, requests with the same order of regions may differ in
+        # `previous_region`, so the cache is only used if the mixture has a
+        # single layout.
+        if decision is not None and (not has_weights or len(self.mixture) == 1):
             return decision
         if not names:
-            names = self._names(layout, route, place, numbers)
-        decision = self._decided(layout, names, route, place, numbers)
-        self._decisions[cached] = decision
+            names = self._preference_order(layout, route, ctx, numbers)
+        decision = self._new_decision(layout, names, route, ctx, numbers)
+        self._decision_cache[cache_key] = decision
         return decision
 
-    def _ranked(self) -> list[tuple[state.Layout, float]]:
-        """Return the mixture in an order that is the same at every node."""
-        if self._parts is None:
-            self._parts = sorted(self.mixture.items())
-            self._decisions.clear()
-            layouts_held = [*self.mixture, self.target]
-            self._weighted = {
-                row.route: any(
-                    layouts.weights_of(layout, row.route)
-                    for layout in layouts_held
+    def _sorted_parts(self) -> list[tuple[state.Layout, float]]:
+        """Return the mixture, sorted so that all nodes have the same order."""
+        if self._part_cache is None:
+            self._part_cache = sorted(self.mixture.items())
+            self._decision_cache.clear()
+            used_layouts = [*self.mixture, self.target]
+            self._has_weights = {
+                route_weights.route: any(
+                    layouts.weights_of(layout, route_weights.route)
+                    for layout in used_layouts
                 )
-                for row in self.target.routes
+                for route_weights in self.target.routes
             }
-        return self._parts
+        return self._part_cache
 
-    def _decided(
+    def _new_decision(
         self,
         layout: state.Layout,
         names: tuple[str, ...],
         route: tables_module.Route,
-        place: regions.SteeringContext,
+        ctx: regions.SteeringContext,
         numbers: tuple[int, ...],
     ) -> regions.Decision:
-        final = self._final()
-        old = names[0]
-        if layout == final:
-            old = self._old_place(names, route, place, numbers)
+        open_target = self._open_target()
+        previous_region = names[0]
+        if layout == open_target:
+            previous_region = self._previous_region(names, route, ctx, numbers)
         first = regions.first_open(names, layout)
-        domains = regions.closed_domains_in(first, layout, place)
-        shifted = layout == final and (old != first or bool(domains))
-        moved = shifted and len(self.mixture) > 1
+        domains = regions.closed_domains_in(first, layout, ctx)
+        shifted = layout == open_target and (
+            previous_region != first or bool(domains)
+        )
+        is_shifting = shifted and len(self.mixture) > 1
         return regions.Decision(
-            regions.candidates(layout, self.target, names, place, moved),
+            regions.candidates(layout, self.target, names, ctx, is_shifting),
             "moved" if shifted else "home",
             shifted,
-            old,
+            previous_region,
             domains,
         )
 
-    def _names(
+    def _preference_order(
         self,
         layout: state.Layout,
         route: tables_module.Route,
-        place: regions.SteeringContext,
+        ctx: regions.SteeringContext,
         numbers: tuple[int, ...],
     ) -> tuple[str, ...]:
         weights = layouts.weights_of(layout, route.name)
         if weights is None:
             weights = layouts.weights_of(self.target, route.name) or ()
-        return regions.preference_order(weights, place, numbers)
+        return regions.preference_order(weights, ctx, numbers)
 
-    def _old_place(
+    def _previous_region(
         self,
         names: tuple[str, ...],
         route: tables_module.Route,
-        place: regions.SteeringContext,
+        ctx: regions.SteeringContext,
         numbers: tuple[int, ...],
     ) -> str:
-        """Return the region the request would go to but for the shift."""
-        final = self._final()
-        others = [one for one in self.mixture if one != final]
+        """Return the region that would serve the request without the shift."""
+        open_target = self._open_target()
+        others = [layout for layout in self.mixture if layout != open_target]
         if not others:
             return names[0]
-        before = max(others, key=lambda one: self.mixture[one])
-        names = self._names(before, route, place, numbers)
-        return regions.first_open(names, before)
+        largest = max(others, key=lambda layout: self.mixture[layout])
+        names = self._preference_order(largest, route, ctx, numbers)
+        return regions.first_open(names, largest)
 
     def report(self) -> Report:
-        """Return the shares in force and what is left to do."""
-        to_go = plans.distance_to(self.mixture, self._final())
+        """Return the shares in force and what remains to be moved."""
+        to_go = plans.distance_to(self.mixture, self._open_target())
         parts = tuple(
             state.Part(layout, share)
             for layout, share in sorted(self.mixture.items())
         )
         return Report(
-            self.row.name,
+            self.pool.name,
             self.phase,
             self.reason,
             parts,
             self.target,
             tuple(sorted(self.lost)),
             to_go,
-            to_go / self._per_second(),
+            to_go / self._rate_per_second(),
         )
 
 
 class TrafficShares:
     """The mixtures in force for all pools at one node.
 
-    All times `now` are monotonic seconds, all `utc_s` seconds since 1970.
+    Each entry has one object of this class and asks it for the regions of each
+    request. All times `now` are monotonic seconds, all `utc_s` seconds since 1970.
     """
 
     def __init__(self) -> None:
-        self._pools: dict[str, _Pool] = {}
-        self._stepped_at: float | None = None
+        self._pools: dict[str, _PoolShares] = {}
+        self._last_step_at: float | None = None
 
     def is_stale(self, now: float) -> bool:
-        """Return whether this node stood still for long.
+        """Return whether this node has not stepped for more than `STALE_S`.
 
-        A process that was frozen while a region was lost and came back never
-        saw it, and would send all of its callers home at once, to cold
-        servers. It adopts the shares of a running node first.
+        A process that was frozen while a region was lost and came back has no
+        record of the loss: it would send all of its callers home at once, to
+        cold servers. It must first adopt the shares of a running node.
         """
-        last = self._stepped_at
-        return last is not None and now - last > STALE_S
-
-    def install(self, held: state.State, now: float, utc_s: float) -> None:
-        """Follow the tables and plans of a newer revision."""
-        pools: dict[str, _Pool] = {}
-        for row in held.tables.pools:
-            target = layouts.of_pool(held.tables, row)
-            plan = plans.find_shift(held.shifts, row.name)
-            pool = self._pools.get(row.name)
-            if pool is None:
-                pool = _Pool(row, target, plan, now, utc_s)
+        last_step_at = self._last_step_at
+        return last_step_at is not None and now - last_step_at > STALE_S
+
+    def install(self, new_state: state.State, now: float, utc_s: float) -> None:
+        """Install the tables and plans of a newer revision."""
+        pools: dict[str, _PoolShares] = {}
+        for pool in new_state.tables.pools:
+            target = layouts.of_pool(new_state.tables, pool)
+            plan = plans.find_shift(new_state.shifts, pool.name)
+            pool_shares = self._pools.get(pool.name)
+            if pool_shares is None:
+                pool_shares = _PoolShares(pool, target, plan, now, utc_s)
             else:
-                pool.update(row, target, plan, now)
-            pools[row.name] = pool
+                pool_shares.update(pool, target, plan, now)
+            pools[pool.name] = pool_shares
         self._pools = pools
 
     def adopt(self, pool: str, parts: Iterable[state.Part]) -> None:
-        """Go on from the shares of a node that has been running.
+        """Take over the shares of a running node.
 
-        A node that restarts midway in a shift has lost its place; the plan and
-        its own clock would give it back, a wrong clock would not.
+        A node that restarts midway in a shift has lost its progress. It can't
+        compute it from the plan if its clock is wrong.
         """
         if pool in self._pools:
             self._pools[pool].adopt(parts)
@@ -422,14 +448,14 @@
     def step(
         self, now: float, utc_s: float, ready: Mapping[str, frozenset[str]]
     ) -> list[PhaseChange]:
-        """Move every pool on; return what is worth a log line.
+        """Step the shares of all pools; return the changes to log.
 
         Args:
             now: Monotonic time in seconds.
             utc_s: UTC in seconds since 1970.
             ready: Regions that have ready servers, by pool.
         """
-        self._stepped_at = now
+        self._last_step_at = now
         changes = [
             pool.step(now, utc_s, ready.get(name, frozenset()))
             for name, pool in self._pools.items()
@@ -439,61 +465,65 @@
     def decide(
         self,
         route: tables_module.Route,
-        place: regions.SteeringContext,
+        ctx: regions.SteeringContext,
         key: str,
         pool_name: str = "",
     ) -> regions.Decision:
-        """Return where a request may go, best first.
+        """Return the regions that may serve a request, best first.
 
         Args:
             route: The request's route.
-            place: From where it is steered.
-            key: The request's id, which draws its place in the shares.
-            pool_name: The pool that serves it, when not the route's own.
+            ctx: Home region and regions with ready servers.
+            key: The request's id, whose hash selects the layout.
+            pool_name: The pool that serves it, if not the route's own.
         """
-        pool = self._pools.get(pool_name or route.pool)
-        if pool is None:
-            names = regions.preference_order((), place, ())
+        pool_shares = self._pools.get(pool_name or route.pool)
+        if pool_shares is None:
+            names = regions.preference_order((), ctx, ())
             empty = state.Layout()
-            found = regions.candidates(empty, empty, names, place, False)
-            return regions.Decision(found, "home")
-        return pool.decide(route, place, key)
+            region_order = regions.candidates(empty, empty, names, ctx, False)
+            return regions.Decision(region_order, "home")
+        return pool_shares.decide(route, ctx, key)
 
     def record_outcome(
         self, pool: str, decision: regions.Decision, region: str, domain: str
     ) -> None:
-        """Take in where a request that `decide` steered was served."""
+        """Record where a request that `decide` steered was served."""
         if pool in self._pools:
             self._pools[pool].record_outcome(decision, region, domain)
 
     def is_moving(self, pool: str) -> bool:
-        """Return whether a shift of the pool is under way."""
-        held = self._pools.get(pool)
-        return held is not None and held.phase != "settled"
+        """Return whether a shift of the pool is in progress."""
+        pool_shares = self._pools.get(pool)
+        return pool_shares is not None and pool_shares.phase != "settled"
 
     def reports(self) -> list[Report]:
         """Return the shares of every pool."""
         return [pool.report() for pool in self._pools.values()]
 
 
-def _closed(mixture: plans.Mixture, gone: Iterable[str]) -> plans.Mixture:
-    """Return the mixture with regions closed in every layout."""
-    gone = tuple(gone)
-    if not gone:
+def _close_regions(
+    mixture: plans.Mixture, closed_regions: Iterable[str]
+) -> plans.Mixture:
+    """Return the mixture with regions closed in all of its layouts."""
+    closed_regions = tuple(closed_regions)
+    if not closed_regions:
         return mixture
-    closed: dict[state.Layout, float] = {}
+    shares: dict[state.Layout, float] = {}
     for layout, share in mixture.items():
-        without = layouts.without_regions(layout, gone)
-        closed[without] = closed.get(without, 0.0) + share
-    return closed
+        reduced = layouts.without_regions(layout, closed_regions)
+        shares[reduced] = shares.get(reduced, 0.0) + share
+    return shares
 
 
-def _pick(parts: list[tuple[state.Layout, float]], draw: float) -> state.Layout:
-    """Return the layout that decides for a draw in (0, 1)."""
-    edge = 0.0
+def _select_layout(
+    parts: list[tuple[state.Layout, float]], draw: float
+) -> state.Layout:
+    """Return the layout that decides a request with a draw in (0, 1)."""
+    upper_bound = 0.0
     for layout, share in parts:
-        edge += share
-        if draw < edge:
+        upper_bound += share
+        if draw < upper_bound:
             return layout
-    # The shares sum to 1 but for rounding.
+    # The sum of the shares is 1 except for rounding.
     return parts[-1][0]
