--- a/hyssopfold/announcements.py
+++ b/hyssopfold/announcements.py
@@ -70,7 +70,7 @@
     """
     fields = server._asdict()
     if not documents.is_address(server.address):
-        allowed = "an IP number and port, IP:PORT"
+        allowed = "an IP address and port, IP:PORT"
         raise _invalid("address", server.address, allowed)
     names = {"ID": server.server_id}
     names |= {key: fields[key] for key in _NAMES}
--- a/hyssopfold/core/steering/client_blocks.py
+++ b/hyssopfold/core/steering/client_blocks.py
@@ -242,7 +242,7 @@
         return Header(sys.byteorder, sites, counts)
 
     def arrays(self) -> list["array.array[int]"]:
-        """Return the arrays of a finished table, without changes by `assign`."""
+        """Return the arrays of a finished table, without assigned changes."""
         return [
             items
             for version in (4, 6)
--- a/hyssopfold/core/steering/shares.py
+++ b/hyssopfold/core/steering/shares.py
@@ -405,7 +405,8 @@
     """The mixtures in force for all pools at one node.
 
     Each entry has one object of this class and asks it for the regions of each
-    request. All times `now` are monotonic seconds, all `utc_s` seconds since 1970.
+    request. All times `now` are monotonic seconds, all `utc_s` UTC in seconds
+    since 1970.
     """
 
     def __init__(self) -> None:
--- a/hyssopfold/documents.py
+++ b/hyssopfold/documents.py
@@ -1,4 +1,4 @@
-"""Safe, bounded reading of operators' YAML, with every fault at its line."""
+"""Safe, bounded parsing of operators' YAML that lists all faults with lines."""
 
 from collections.abc import Callable
 from collections.abc import Mapping
@@ -13,14 +13,15 @@
 
 MAX_BYTES = 4 * 1024 * 1024
 MAX_DEPTH = 12
-_SHOWN = 60
+_MAX_SHOWN_CHARS = 60
 
 
 class Field(NamedTuple):
-    """One key of a mapping: its type, default and what it may hold.
+    """One key of a mapping: its converter, default and description.
 
-    `convert` takes a node and a `Reader` and returns the value; it reports
-    faults to the reader instead of raising.
+    `convert` takes a `Reader`, a node and its key path and returns the value;
+    it adds faults to the reader instead of raising. `allowed` describes the
+    allowed values, for the fault of a missing key.
     """
 
     name: str
@@ -33,10 +34,10 @@
 
 
 class Reader:
-    """Collect faults while a document is taken apart.
+    """Collects the faults of a document while it is converted.
 
     Args:
-        source: Name of the document, for the faults.
+        source: Name of the document for the faults.
     """
 
     def __init__(self, source: str) -> None:
@@ -48,7 +49,7 @@
     def add_fault(
         self, node: yaml.Node | None, where: str, allowed: str
     ) -> None:
-        """Note that `node` at key path `where` should have been `allowed`."""
+        """Add a fault: `node` at key path `where` should be `allowed`."""
         line = node.start_mark.line + 1 if node is not None else 1
         shown = _show(node)
         self.faults.append(
@@ -58,16 +59,16 @@
     def add_fault_at(
         self, line: int, where: str, value: str, allowed: str
     ) -> None:
-        """Note a fault whose line is known but whose node is not."""
+        """Add a fault by its line, where its node isn't available."""
         self.faults.append(
             errors.Fault(self.source, line, where, value, allowed)
         )
 
     def raise_faults(self) -> None:
-        """Raise all noted faults at once.
+        """Raise one error for all faults.
 
         Raises:
-            InvalidDocumentError: if any fault was noted.
+            InvalidDocumentError: if any fault was added.
         """
         if self.faults:
             raise errors.InvalidDocumentError(self.faults)
@@ -75,27 +76,29 @@
     def mapping(
         self, node: yaml.Node | None, fields: Sequence[Field], where: str
     ) -> dict[str, Any]:
-        """Return the checked values of a mapping, unknown keys refused."""
+        """Return the validated values of a mapping; unknown keys are faults."""
         values = {field.name: field.default for field in fields}
         if not isinstance(node, yaml.MappingNode):
             self.add_fault(node, where or "document", "a mapping of keys")
             return values
-        known = {field.name: field for field in fields}
-        seen: set[str] = set()
+        fields_by_name = {field.name: field for field in fields}
+        present_keys: set[str] = set()
         for key_node, value_node in node.value:
             key = str(key_node.value)
             path = f"{where}.{key}" if where else key
             self.lines.setdefault(path, key_node.start_mark.line + 1)
-            if key not in known:
-                self.add_fault(key_node, path, f"one of {', '.join(known)}")
+            if key not in fields_by_name:
+                self.add_fault(
+                    key_node, path, f"one of {', '.join(fields_by_name)}"
+                )
                 continue
-            if key in seen:
+            if key in present_keys:
                 self.add_fault(key_node, path, "each key only once")
                 continue
-            seen.add(key)
-            values[key] = known[key].convert(self, value_node, path)
+            present_keys.add(key)
+            values[key] = fields_by_name[key].convert(self, value_node, path)
         for field in fields:
-            if field.required and field.name not in seen:
+            if field.required and field.name not in present_keys:
                 path = f"{where}.{field.name}" if where else field.name
                 self.add_fault_at(
                     node.start_mark.line + 1,
@@ -110,15 +113,15 @@
     if node is None:
         return "(empty)"
     if isinstance(node, yaml.ScalarNode):
-        return repr(node.value[:_SHOWN])
+        return repr(node.value[:_MAX_SHOWN_CHARS])
     return f"a {node.id}"
 
 
 def compose(text: str, source: str) -> tuple[Reader, yaml.Node | None]:
-    """Parse YAML into nodes, refusing what is too large, deep or aliased.
+    """Parse YAML into nodes; refuse aliases and too large or deep documents.
 
     Raises:
-        InvalidDocumentError: when the text cannot be read at all.
+        InvalidDocumentError: if the text is refused or isn't valid YAML.
     """
     reader = Reader(source)
     if len(text.encode()) > MAX_BYTES:
@@ -140,14 +143,15 @@
             1, "document", "its depth", f"under {MAX_DEPTH} levels"
         )
     reader.raise_faults()
-    raise AssertionError("unreachable: faults were noted")
+    raise AssertionError("unreachable: faults were added")
 
 
 def _check_events(text: str, reader: Reader) -> None:
-    """Refuse aliases and depth before any tree is built.
+    """Refuse aliases and too deep nesting before any tree is built.
 
-    A document of nested aliases expands to gigabytes ("billion laughs");
-    looking at the parser's events costs only the text's own size.
+    A document of nested aliases expands to gigabytes (the "billion laughs"
+    attack); a pass over the parser's events takes time and memory proportional
+    to the text.
     """
     depth = 0
     for event in yaml.parse(text, Loader=yaml.SafeLoader):
@@ -171,7 +175,7 @@
 def string(
     *, max_length: int = 255, choices: Sequence[str] = ()
 ) -> Callable[[Reader, yaml.Node, str], str]:
-    """Return a converter to `str`, of the `choices` when they are given."""
+    """Return a converter to `str`; if given, only `choices` are allowed."""
 
     def convert(reader: Reader, node: yaml.Node, where: str) -> str:
         if not isinstance(node, yaml.ScalarNode) or not node.value:
@@ -181,7 +185,9 @@
             reader.add_fault(node, where, f"one of {', '.join(choices)}")
         if len(node.value) > max_length or not node.value.isprintable():
             reader.add_fault(
-                node, where, f"printable text of at most {max_length} letters"
+                node,
+                where,
+                f"printable text of at most {max_length} characters",
             )
         return str(node.value)
 
@@ -191,17 +197,17 @@
 def number(
     kind: type[int] | type[float], minimum: float, maximum: float
 ) -> Callable[[Reader, yaml.Node, str], Any]:
-    """Return a converter to a number within bounds, both included."""
-    word = "a whole number" if kind is int else "a number"
+    """Return a converter to a number within bounds, both inclusive."""
+    kind_name = "a whole number" if kind is int else "a number"
 
     def convert(reader: Reader, node: yaml.Node, where: str) -> Any:
-        allowed = f"{word} from {minimum:g} to {maximum:g}"
+        allowed = f"{kind_name} from {minimum:g} to {maximum:g}"
         try:
             value = kind(getattr(node, "value", ""))
         except (TypeError, ValueError):
             reader.add_fault(node, where, allowed)
             return kind(minimum)
-        # Written this way round, so that a NaN is refused too.
+        # This form of the comparison refuses NaN as well.
         if not minimum <= value <= maximum:
             reader.add_fault(node, where, allowed)
             return kind(minimum)
@@ -219,15 +225,15 @@
 
 
 def address(reader: Reader, node: yaml.Node, where: str) -> str:
-    """Convert an IP number and port, such as `127.0.0.1:7101`."""
+    """Convert an IP address and port, such as `127.0.0.1:7101`."""
     value = str(getattr(node, "value", ""))
     if not is_address(value):
-        reader.add_fault(node, where, "an IP number and port, IP:PORT")
+        reader.add_fault(node, where, "an IP address and port, IP:PORT")
     return value
 
 
 def is_address(value: str) -> bool:
-    """Return whether `value` is an IP number and a port."""
+    """Return whether `value` is an IP address and a port."""
     host, _, port = value.rpartition(":")
     try:
         ipaddress.ip_address(host.strip("[]"))
@@ -239,7 +245,7 @@
 def list_of(
     convert: Callable[[Reader, yaml.Node, str], Any], max_items: int = 10_000
 ) -> Callable[[Reader, yaml.Node, str], tuple[Any, ...]]:
-    """Return a converter for a list whose items `convert` takes."""
+    """Return a converter for a list whose items are converted by `convert`."""
 
     def convert_all(
         reader: Reader, node: yaml.Node, where: str
@@ -263,7 +269,7 @@
 def mapping_of(
     convert: Callable[[Reader, yaml.Node, str], Any],
 ) -> Callable[[Reader, yaml.Node, str], dict[str, Any]]:
-    """Return a converter for a mapping of free names to like values."""
+    """Return a converter for a mapping of any keys to values of one type."""
 
     def convert_all(
         reader: Reader, node: yaml.Node, where: str
--- a/hyssopfold/setting_fields.py
+++ b/hyssopfold/setting_fields.py
@@ -37,7 +37,7 @@
         documents.address,
         "",
         True,
-        "an IP number and port, IP:PORT",
+        "an IP address and port, IP:PORT",
         help="where callers, backend servers and operators connect",
     ),
     documents.Field(
@@ -85,7 +85,7 @@
         documents.address,
         "",
         True,
-        "an IP number and port, IP:PORT",
+        "an IP address and port, IP:PORT",
         help="UDP address on which our processes exchange announcements",
     ),
     documents.Field(
@@ -167,7 +167,7 @@
 _MEMBER = (
     documents.Field("name", documents.string(), "", True, "a name"),
     documents.Field(
-        "rpc_address", documents.address, "", True, "IP number and port"
+        "rpc_address", documents.address, "", True, "IP address and port"
     ),
 )
 
@@ -195,7 +195,7 @@
         documents.address,
         "",
         True,
-        "an IP number and port, IP:PORT",
+        "an IP address and port, IP:PORT",
         help="where other processes of ours connect",
     ),
     documents.Field(
--- a/hyssopfold/state.py
+++ b/hyssopfold/state.py
@@ -1,4 +1,4 @@
-"""The replicated value: both tables and the plans of shifts under way."""
+"""The replicated state: both tables and the plans of unfinished shifts."""
 
 from typing import NamedTuple
 
@@ -16,17 +16,18 @@
 
 
 class RouteWeights(NamedTuple):
-    """Weights of one route, sorted by region; none means nearest first."""
+    """Weights of one route, sorted by region; empty means nearest first."""
 
     route: str
     weights: tuple[RegionWeight, ...]
 
 
 class Layout(NamedTuple):
-    """Where the tables of one revision want a pool's traffic.
+    """How the tables of one revision distribute a pool's traffic.
 
-    `closed_regions` and `closed_domains` are to be emptied; all fields are
-    sorted, so equal wishes are equal values.
+    `closed_regions` and `closed_domains` are the regions and failure domains
+    to be emptied. All fields are sorted, so equal distributions are equal
+    values.
     """
 
     routes: tuple[RouteWeights, ...] = ()
@@ -35,18 +36,18 @@
 
 
 class Part(NamedTuple):
-    """A layout and the share of the pool's requests it decides, 0 to 1."""
+    """A layout and the share of the pool's requests that it decides, 0 to 1."""
 
     layout: Layout
     share: float
 
 
 class Shift(NamedTuple):
-    """A planned move of a pool's traffic from where it is to a new layout.
+    """The plan that moves a pool's traffic from its mixture to a new layout.
 
-    Every node works out the shares in force from the plan alone, see
+    Every node computes the planned shares from this plan alone, see
     `hyssopfold.core.steering.plans`. `source` are the parts in force at the
-    start, which sum to 1; `start_s` is UTC in seconds since 1970;
+    start, whose shares sum to 1; `start_s` is UTC in seconds since 1970;
     `rate_per_minute` is the share of requests that `target` takes over in a
     minute.
     """
@@ -59,10 +60,11 @@
 
 
 class Row(NamedTuple):
-    """A row of an operator's own document, kept as it was sent.
+    """A row of an operator's own document, stored as it was sent.
 
-    `table` names the part of the document that it belongs to and `text` is
-    its JSON. Kept row by row, an edit of one row is a small difference.
+    `table` names the part of the document that contains the row and `text` is
+    its JSON. Rows are stored one by one so that the edit of a row is a small
+    difference between revisions.
     """
 
     table: str
@@ -71,12 +73,12 @@
 
 
 class State(NamedTuple):
-    """What every instance must agree on, at one revision.
+    """The state that all instances agree on, at one revision.
 
-    `version` is the number that an operator gave the tables, 0 when they
-    came without one, and `rows` the document they were made from.
-    `evacuated` are failure domains that get no new work, sorted; they belong
-    to no version of the tables.
+    `version` is the number that an operator gave the tables, 0 if they have
+    none, and `rows` is the document from which they were made. `evacuated` are
+    the failure domains that get no new requests, sorted; they aren't part of
+    any version of the tables.
     """
 
     tables: tables_module.Tables = tables_module.Tables()
@@ -87,15 +89,15 @@
 
 
 def encode(state: State) -> bytes:
-    """Return the canonical bytes: equal states give equal bytes."""
+    """Return the canonical encoding: equal states have equal bytes."""
     return msgspec.json.encode(state, order="deterministic")
 
 
 def decode(data: bytes) -> State:
-    """Return the state in canonical bytes; no bytes are the empty state.
+    """Return the state of a canonical encoding; no bytes are the empty state.
 
     Raises:
-        InvalidDocumentError: if the bytes are no state.
+        InvalidDocumentError: if the bytes don't encode a state.
     """
     if not data:
         return State()
--- a/hyssopfold/tables.py
+++ b/hyssopfold/tables.py
@@ -1,4 +1,4 @@
-"""Routes and pools: parsing, checking and their canonical form."""
+"""Tables of routes and pools: parsing, validation and canonical encoding."""
 
 from collections.abc import Collection
 from collections.abc import Iterable
@@ -21,16 +21,17 @@
 
 
 class Route(NamedTuple):
-    """Which requests go to which pool.
-
-    `repeatable` None means by method. `deadline_ms` is the longest a caller
-    waits; a lower `priority` number is served first; `weights` gives the
-    share of each region and an empty mapping means nearest first. `split`
-    gives the share of each of several pools and takes the place of `pool`.
-    `attempts` is the most servers one request may be sent to,
-    `latency_goal_ms` the time within which an answer is worth most, 0 when
-    there is none. With `sticky`, requests for one object keep to the servers
-    that handled it. Requests go to `allowed_regions` alone; none means any.
+    """A row of the table of routes: which requests go to which pool.
+
+    `repeatable` says whether requests may run twice; None means by method.
+    `deadline_ms` is the longest time that a caller waits. Requests with a
+    lower `priority` are served first. `weights` are the shares of the regions;
+    an empty mapping means nearest first. `split` are the shares of several
+    pools, used instead of `pool`. `attempts` is the largest number of servers
+    to which one request may be sent, `latency_goal_ms` the time within which
+    an answer has its full value, 0 if there is none. With `sticky`, requests
+    for an object go to the servers that handled the object before. Requests go
+    to `allowed_regions` only; empty means any.
     """
 
     name: str
@@ -49,14 +50,14 @@
     allowed_regions: tuple[str, ...] = ()
 
     def is_repeatable(self, method: str) -> bool:
-        """Return whether a request may run twice without harm."""
+        """Return whether a request of this method may safely run twice."""
         if self.repeatable is not None:
             return self.repeatable
         return method in IDEMPOTENT_METHODS
 
 
 class Drains(NamedTuple):
-    """What operators want emptied."""
+    """Servers, failure domains and regions that operators want emptied."""
 
     servers: tuple[str, ...] = ()
     failure_domains: tuple[str, ...] = ()
@@ -64,14 +65,14 @@
 
 
 class Pool(NamedTuple):
-    """Backend servers of one kind, and the limits to keep.
+    """A row of the table of pools: backend servers of a kind and their limits.
 
-    `slots` and `connections` are per server, `headroom` the share of the
+    `slots` and `connections` are per server. `headroom` is the share of the
     pool's slots kept free, `shift_cap` the share of the pool's traffic that
-    may move in a minute, `link_cap_mbit` per pair of regions each way and
-    `warm_up_s` the seconds until a cold server takes its full load.
-    `cold_rate` is how many requests a second a cold server bears, from all
-    entries together; 0 means that it is not bounded.
+    may move in a minute, `link_cap_mbit` the capacity in Mbit/s between two
+    regions each way, and `warm_up_s` the seconds until a cold server can take
+    its full load. `cold_rate` is the number of requests a second that a cold
+    server can take from all entries together; 0 means no limit.
     """
 
     name: str
@@ -85,7 +86,7 @@
     cold_rate: float = 0.0
 
 
-# What a pool has that is made from another source than our tables.
+# Defaults for pools that are made from another source than these tables.
 DEFAULT_POOL = Pool(
     name="",
     slots=1,
@@ -99,13 +100,13 @@
 
 
 class Tables(NamedTuple):
-    """Both tables, sorted by name."""
+    """The tables of routes and of pools, each sorted by name."""
 
     routes: tuple[Route, ...] = ()
     pools: tuple[Pool, ...] = ()
 
     def pool(self, name: str) -> Pool | None:
-        """Return the pool called `name`."""
+        """Return the pool called `name`, or None if there is none."""
         for pool in self.pools:
             if pool.name == name:
                 return pool
@@ -133,7 +134,9 @@
     if not re.match(r"/[!-~]{0,1023}\Z", value):
         reader.add_fault(node, where, "a path that begins with /")
     if value.startswith("/hyssop/"):
-        reader.add_fault(node, where, "a path outside /hyssop/, which is ours")
+        reader.add_fault(
+            node, where, "a path outside /hyssop/, which is reserved"
+        )
     return value
 
 
@@ -198,20 +201,20 @@
         "attempts",
         documents.number(int, 1, 10),
         3,
-        help="most servers that one request may be sent to",
+        help="largest number of servers to which a request may be sent",
     ),
     documents.Field(
         "latency_goal_ms",
         documents.number(int, 0, 86_400_000),
         0,
         unit="ms",
-        help="time within which an answer is worth most; 0 when there is none",
+        help="time within which an answer has its full value; 0 if none",
     ),
     documents.Field(
         "sticky",
         documents.boolean,
         False,
-        help="requests for one object keep to the servers that handled it",
+        help="requests for an object go to the servers that handled it before",
     ),
     documents.Field(
         "allowed_regions",
@@ -235,14 +238,14 @@
         "connections",
         documents.number(int, 1, 1_000_000),
         330,
-        help="connections a server holds, over all entries",
+        help="connections to a server, from all entries together",
     ),
     documents.Field(
         "headroom",
         documents.number(float, 0, 0.9),
         0.1,
         unit="share",
-        help="share of slots kept free by decisions of the system",
+        help="share of slots that decisions of the system keep free",
     ),
     documents.Field(
         "shift_cap",
@@ -263,7 +266,7 @@
         documents.number(float, 0, 86_400),
         30.0,
         unit="s",
-        help="until a cold server takes its full load",
+        help="time until a cold server can take its full load",
     ),
     documents.Field(
         "drains",
@@ -276,19 +279,21 @@
         documents.number(float, 0, 1_000_000),
         0.0,
         unit="requests a second",
-        help="what a cold server bears, from all entries; 0 for no bound",
+        help="requests a cold server can take, from all entries; 0 if unlimited",
     ),
 )
 
 
-def _route(values: Mapping[str, Any]) -> Route:
-    given = {key: values[key] or {} for key in ("weights", "split")}
-    return Route(**{**values, **given})
+def _build_route(values: Mapping[str, Any]) -> Route:
+    mappings = {key: values[key] or {} for key in ("weights", "split")}
+    return Route(**{**values, **mappings})
 
 
 _FIELDS = (
     documents.Field(
-        "routes", documents.list_of(documents.record(ROUTE_FIELDS, _route)), ()
+        "routes",
+        documents.list_of(documents.record(ROUTE_FIELDS, _build_route)),
+        (),
     ),
     documents.Field(
         "pools",
@@ -301,29 +306,33 @@
         "revision",
         documents.number(int, 0, 2**53),
         0,
-        help="written by `tables get`; read by no one",
+        help="written by `tables get`; ignored when the tables are read",
     ),
 )
 
 
 def parse(text: str, source: str = "tables") -> Tables:
-    """Return the checked tables of a YAML document.
+    """Return the validated tables of a YAML document.
+
+    Args:
+        text: The document.
+        source: Name of the document for the faults.
 
     Raises:
         InvalidDocumentError: listing every fault with its line.
     """
     reader, node = documents.compose(text, source)
     values = reader.mapping(node, _FIELDS, "")
-    lines = {key: _row_lines(node, key) for key in ("routes", "pools")}
+    row_lines = {key: _row_lines(node, key) for key in ("routes", "pools")}
     for fault in row_faults(values["routes"], values["pools"]):
-        line = lines[fault.table][fault.row]
+        line = row_lines[fault.table][fault.row]
         reader.add_fault_at(line, fault.where, fault.value, fault.allowed)
     reader.raise_faults()
     return ordered(values["routes"], values["pools"])
 
 
 def ordered(routes: Iterable[Route], pools: Iterable[Pool]) -> Tables:
-    """Return checked rows as tables, sorted by name."""
+    """Return tables of validated rows, sorted by name."""
     return Tables(
         tuple(sorted(routes, key=lambda route: route.name)),
         tuple(sorted(pools, key=lambda pool: pool.name)),
@@ -341,7 +350,10 @@
 
 
 class RowFault(NamedTuple):
-    """What is wrong with a row of a table beside the other rows."""
+    """A fault of a row in relation to the other rows.
+
+    `key` is the faulty key, empty if the fault concerns the whole row.
+    """
 
     table: str
     row: int
@@ -359,34 +371,34 @@
 def row_faults(
     routes: Sequence[Route], pools: Sequence[Pool]
 ) -> Iterator[RowFault]:
-    """Yield faults between rows: names twice, pools missing, routes alike."""
-    yield from _names_twice("routes", [route.name for route in routes])
-    yield from _names_twice("pools", [pool.name for pool in pools])
-    known = {pool.name for pool in pools}
-    matches: dict[tuple[str, str, str], str] = {}
+    """Yield faults between rows: duplicate names and matches, missing pools."""
+    yield from _duplicate_names("routes", [route.name for route in routes])
+    yield from _duplicate_names("pools", [pool.name for pool in pools])
+    pool_names = {pool.name for pool in pools}
+    routes_by_match: dict[tuple[str, str, str], str] = {}
     for index, route in enumerate(routes):
-        for key, value, allowed in _route_faults(route, known):
+        for key, value, allowed in _route_faults(route, pool_names):
             yield RowFault("routes", index, key, value, allowed)
         for method in route.methods:
             match = (route.host, route.path_prefix, method)
-            if match in matches:
-                allowed = f"a match other than that of {matches[match]}"
+            if match in routes_by_match:
+                allowed = f"a match other than that of {routes_by_match[match]}"
                 yield RowFault("routes", index, "", " ".join(match), allowed)
-            matches[match] = route.name
+            routes_by_match[match] = route.name
 
 
-def _names_twice(table: str, names: Sequence[str]) -> Iterator[RowFault]:
-    seen: set[str] = set()
+def _duplicate_names(table: str, names: Sequence[str]) -> Iterator[RowFault]:
+    previous_names: set[str] = set()
     for index, name in enumerate(names):
-        if name in seen:
+        if name in previous_names:
             yield RowFault(table, index, "name", repr(name), "a unique name")
-        seen.add(name)
+        previous_names.add(name)
 
 
 def _route_faults(
     route: Route, pools: Collection[str]
 ) -> Iterator[tuple[str, str, str]]:
-    """Yield key, value and what is allowed, for each fault of a route."""
+    """Yield (key, value, allowed values) for each fault of a route."""
     if not route.host:
         yield "host", "''", "a host name, or * for any"
     if route.deadline_ms < 1:
@@ -405,17 +417,17 @@
     for name, share in route.split.items():
         if name not in pools:
             yield "split", repr(name), "the name of a row in pools"
-        # Written so that NaN, which compares to nothing, is refused too.
+        # This form of the comparison refuses NaN as well.
         if not share >= 0:
             yield "split", f"{share:g}", "shares of 0 or more"
     if not any(route.split.values()):
         yield "split", "all zero", "one share above 0"
     if route.pool not in route.split:
-        yield "split", f"no share of {route.pool}", "one of `pool` too"
+        yield "split", f"no share of {route.pool}", "a share of `pool` too"
 
 
 def to_plain(tables: Tables) -> dict[str, Any]:
-    """Return the tables as plain mappings and lists, as operators see them."""
+    """Return the tables as mappings and lists, in the format for operators."""
     return {
         "routes": [
             {
@@ -433,21 +445,21 @@
 
 
 def to_yaml(tables: Tables, revision: int) -> str:
-    """Return a document that `parse` reads back to the same tables."""
+    """Return a YAML document that `parse` reads back to the same tables."""
     plain = msgspec.to_builtins(to_plain(tables))
     return str(yaml.safe_dump({"revision": revision, **plain}, sort_keys=False))
 
 
 def encode(tables: Tables) -> bytes:
-    """Return the canonical bytes: equal tables give equal bytes."""
+    """Return the canonical encoding: equal tables have equal bytes."""
     return msgspec.json.encode(tables, order="deterministic")
 
 
 def decode(data: bytes) -> Tables:
-    """Return the tables of canonical bytes.
+    """Return the tables of a canonical encoding.
 
     Raises:
-        InvalidDocumentError: if the bytes are not canonical tables.
+        InvalidDocumentError: if the bytes don't encode tables.
     """
     try:
         return msgspec.json.decode(data, type=Tables)
