--- a/hyssopfold/errors.py
+++ b/hyssopfold/errors.py
@@ -1,4 +1,4 @@
-"""Typed errors; the message of each names the remedy."""
+"""Error classes; each message says what failed and what to do about it."""
 
 from collections.abc import Sequence
 from typing import NamedTuple
@@ -9,7 +9,7 @@
 
     Args:
         summary: What went wrong, without a full stop.
-        remedy: What the reader can do about it.
+        remedy: What the reader of the message can do about it.
     """
 
     kind = "error"
@@ -22,7 +22,11 @@
 
 
 class Fault(NamedTuple):
-    """One thing wrong in a document written by an operator."""
+    """A fault in a document written by an operator.
+
+    `where` is the path of the faulty key in line `line` of `source`, `value`
+    what stands there and `allowed` what would be accepted.
+    """
 
     source: str
     line: int
@@ -38,19 +42,19 @@
 
 
 class InvalidDocumentError(HyssopError):
-    """Settings or tables that were refused as a whole."""
+    """Settings or tables contain faults; the whole document is refused."""
 
     kind = "invalid-document"
     exit_status = 2
 
     def __init__(self, faults: Sequence[Fault]) -> None:
-        listed = "\n".join(str(fault) for fault in faults)
-        super().__init__(listed, "mend every line listed and try again")
+        fault_lines = "\n".join(str(fault) for fault in faults)
+        super().__init__(fault_lines, "correct every line listed and try again")
         self.faults = tuple(faults)
 
 
 class PortBusyError(HyssopError):
-    """An address of ours is taken by another process."""
+    """An address to listen on is in use by another process."""
 
     kind = "port-busy"
 
@@ -62,7 +66,7 @@
 
 
 class ConflictError(HyssopError):
-    """Another edit won the revision this one was based on."""
+    """Another edit was accepted on the revision that this edit is based on."""
 
     kind = "conflict"
     exit_status = 3
@@ -78,21 +82,21 @@
 
 
 class VersionConflictError(HyssopError):
-    """Another version is in force than the one an edit builds on."""
+    """The version in force isn't the version on which an edit is based."""
 
     kind = "version-conflict"
     exit_status = 3
 
     def __init__(self, base: int, in_force: int) -> None:
         super().__init__(
-            f"version {in_force} is in force, the edit builds on {base}",
+            f"version {in_force} is in force, the edit is based on {base}",
             f"get version {in_force}, redo the edit on it and send it again",
         )
         self.in_force = in_force
 
 
 class OutcomeUnknownError(HyssopError):
-    """The fate of an edit could not be learned in time."""
+    """The outcome of an edit did not become known in time."""
 
     kind = "outcome-unknown"
     exit_status = 4
@@ -106,7 +110,7 @@
 
 
 class ChangeIdReusedError(HyssopError):
-    """A change id belongs to another edit that was accepted before."""
+    """The change id of an edit belongs to an edit accepted before."""
 
     kind = "change-id-reused"
     exit_status = 2
@@ -115,63 +119,67 @@
         super().__init__(
             f"change id {change_id} belongs to the edit that made revision"
             f" {revision}; nothing changed",
-            "apply this edit under a change id of its own",
+            "apply this edit with another change id",
         )
 
 
 class NotAcceptedError(HyssopError):
-    """An operation on the durable state is certain not to take effect."""
+    """An operation on the durable state failed and will not take effect."""
 
     kind = "not-accepted"
 
     def __init__(self, reason: str) -> None:
         super().__init__(
-            f"this request changed nothing: {reason or 'no majority answered in time'}",
-            "ask another control instance, or see that a majority of them"
-            " runs (hyssopctl status)",
+            "this request changed nothing:"
+            f" {reason or 'no majority answered in time'}",
+            "ask another control instance, or check that a majority of them"
+            " is running (hyssopctl status)",
         )
 
 
 class ChildFailedError(HyssopError):
-    """A supervised task kept failing."""
+    """A supervised task failed too often."""
 
     kind = "child-failed"
 
     def __init__(self, name: str, restarts: int, cause: BaseException) -> None:
         super().__init__(
             f"task {name} failed {restarts} times, last with {cause!r}",
-            "read the log lines of this task, mend the cause, start again",
+            "read the log lines of this task, fix the cause and start again",
         )
 
 
 class CorruptStorageError(HyssopError):
-    """A record on disk failed its checksum or its format."""
+    """A record on disk has a wrong checksum or an invalid format."""
 
     kind = "corrupt-storage"
 
     def __init__(self, path: str, detail: str) -> None:
         super().__init__(
             f"{path} is corrupt: {detail}",
-            "move the data folder aside and let the instance come back blank",
+            "move the data folder aside and start the instance without data",
         )
 
 
 class StorageFormatError(CorruptStorageError):
-    """A record was written by a program with another format."""
+    """A record was written by a version of the program with another format."""
 
     kind = "storage-format"
 
-    def __init__(self, path: str, found: int, known: int) -> None:
+    def __init__(
+        self, path: str, file_format: int, supported_format: int
+    ) -> None:
         HyssopError.__init__(
             self,
-            f"{path} has format {found}; this program reads format {known}",
+            f"{path} has format {file_format}; this program reads format"
+            f" {supported_format}",
             "start the program's version that wrote it, or move the data"
-            " folder aside and let the instance come back blank",
+            " folder aside and start the instance without data",
         )
 
 
 class StorageBusyError(HyssopError):
-    """Another process holds the data folder."""
+    """Another process has locked the data folder."""
 
     kind = "storage-busy"
 
@@ -183,37 +191,37 @@
 
 
 class StorageWriteError(HyssopError):
-    """A record could not be written and synced."""
+    """A record could not be written and synced to disk."""
 
     kind = "storage-write"
 
     def __init__(self, path: str, detail: str) -> None:
         super().__init__(
             f"cannot write {path}: {detail}",
-            "free space or mend the disk; a running instance votes again by"
-            " itself, one that did not start is started again",
+            "free space or repair the disk; a running instance votes again by"
+            " itself, one that did not start must be started again",
         )
 
 
 class PeerUnavailableError(HyssopError):
-    """A call to another process of ours got no answer in time."""
+    """A call to another instance got no answer in time."""
 
     kind = "peer-unavailable"
 
     def __init__(self, address: str, detail: str) -> None:
         super().__init__(
             f"no answer from {address}: {detail}",
-            "check that the process runs and the path to it is open",
+            "check that the process is running and can be reached",
         )
 
 
 class InvariantError(HyssopError):
-    """A state that must never arise did."""
+    """An invariant of the program does not hold."""
 
     kind = "invariant-broken"
 
-    def __init__(self, what: str) -> None:
+    def __init__(self, violation: str) -> None:
         super().__init__(
-            f"invariant broken: {what}",
+            f"invariant broken: {violation}",
             "stop this instance, keep its data folder and log, and report them",
         )
--- a/tests/steps/supervisor_steps.py
+++ b/tests/steps/supervisor_steps.py
@@ -90,7 +90,7 @@
     assert context.status == 1
     assert len(context.lines) == 1, context.lines
     assert context.lines[0].startswith("child-failed: task gossip failed 1")
-    assert "mend the cause" in context.lines[0]
+    assert "fix the cause" in context.lines[0]
 
 
 @when("a daemon ends with two errors at once")
