--- a/hyssopfold/core/steering/regions.py
+++ b/hyssopfold/core/steering/regions.py
@@ -113,9 +113,7 @@
     """
     if not weights:
         others = tuple(
-            region
-            for region in ctx.regions_by_delay
-            if region != ctx.home_region
+            other for other in ctx.regions_by_delay if other != ctx.home_region
         )
         return (ctx.home_region, *others)
     scores = [
--- a/hyssopfold/core/steering/shares.py
+++ b/hyssopfold/core/steering/shares.py
@@ -263,9 +263,9 @@
         open_target = self._open_target()
         target_share = self.mixture.get(open_target, 0.0)
         others = {
-            layout: layout_share
-            for layout, layout_share in self.mixture.items()
-            if layout != open_target
+            other: other_share
+            for other, other_share in self.mixture.items()
+            if other != open_target
         }
         if not others:
             others = {layouts.reopened(self.target): 1.0}
