--- a/tests/core/steering/client_blocks.feature
+++ b/tests/core/steering/client_blocks.feature
@@ -1,9 +1,9 @@
-Feature: sites of client blocks
-  A caller is steered by where its address block lies. A block put to the wrong
-  site sends a shop's stock checks across the country; a table that takes a
-  gigabyte, or minutes for a change, could not be kept on small instances.
+Feature: table of client blocks
+  The address block of a caller determines its site and home region. A block
+  with a wrong site sends requests to a distant region. A table that takes a
+  gigabyte of memory, or minutes for a change, doesn't fit small instances.
 
-  Scenario: wider and longer prefixes, both families, and gaps
+  Scenario: nested prefixes, IPv4 and IPv6, and gaps between prefixes
     Given the client blocks
       """
       site d dar
@@ -15,7 +15,7 @@
       2001:db8::/32 d
       2001:db8:1::/48 m
       """
-    Then client addresses lie at
+    Then client addresses belong to the sites
       | address            | site |
       | 9.255.255.255      |      |
       | 10.0.0.1           | d    |
@@ -33,20 +33,20 @@
       | ::ffff:10.1.0.1    | m    |
       | no address         |      |
 
-  Scenario: changes are applied in order and read back from a built file
+  Scenario: changes are applied in order
     Given the client blocks
       """
       site d dar
       site m mwanza
       10.0.0.0/16 d
       """
-    When client blocks change by
+    When the client blocks are changed by
       """
       10.0.4.0/22 m
       10.0.5.0/24 -
       10.0.5.128/25 d
       """
-    Then client addresses lie at
+    Then client addresses belong to the sites
       | address    | site |
       | 10.0.3.255 | d    |
       | 10.0.4.0   | m    |
@@ -55,8 +55,8 @@
       | 10.0.7.255 | m    |
       | 10.0.8.0   | d    |
 
-  Scenario Outline: a wrong line is named and nothing is loaded
-    Then client blocks refuse line <line> of "<text>"
+  Scenario Outline: an invalid line is named and no table is returned
+    Then the client blocks parser refuses line <line> of "<text>"
 
     Examples:
       | line | text                                        |
@@ -67,15 +67,15 @@
       | 2    | site d dar; 0.0.0.0/0 d                     |
       | 3    | site d dar; 10.0.0.0/16 d; site m mwanza    |
 
-  Scenario: a file cut short is refused, an appended change is taken in
+  Scenario: a truncated file is refused, an appended change is applied
     Given the client blocks
       """
       site d dar
       site m mwanza
       10.0.0.0/16 d
       """
-    Then a built file of client blocks loads whole and not cut short
-    And a line appended to its changes is in force, one not yet ended is not
+    Then a built file of client blocks is loaded, a truncated one is refused
+    And a line appended to its changes is in force, an incomplete line is not
 
-  Scenario: changes in any order agree with a table that is not compact
-    Then random client blocks and changes agree with a plain dictionary
+  Scenario: random blocks and changes give the same sites as a plain search
+    Then random client blocks and changes agree with a search of all prefixes
--- a/tests/steps/core/steering/link_pacing_steps.py
+++ b/tests/steps/core/steering/link_pacing_steps.py
@@ -13,14 +13,15 @@
 
 
 @then(
-    "without pacing of links the 99th percentile of checks is above {ms:d} ms"
+    "without pacing of links the 99th percentile of small requests is above"
+    " {ms:d} ms"
 )
 def _(context, ms):
     delays, _ = link_model.run(1, paced=False)
     assert _p99(delays) > ms, _p99(delays)
 
 
-def _check_paced(context, lost):
+def _check_with_pacing(context, lost):
     delays, mbit = link_model.run(1, paced=True, lost=lost)
     assert _p99(delays) < context.p99_ms, _p99(delays)
     assert mbit >= context.mbit, mbit
@@ -32,20 +33,20 @@
 )
 def _(context, ms, mbit):
     context.p99_ms, context.mbit = ms, mbit
-    _check_paced(context, lost=False)
+    _check_with_pacing(context, lost=False)
 
 
-@then("with pacing of links and an entry lost midway all of that holds")
+@then("with pacing of links and an entry lost midway both bounds hold")
 def _(context):
-    _check_paced(context, lost=True)
+    _check_with_pacing(context, lost=True)
 
 
-@given("a link with room for {rate:d} bytes a second")
+@given("a link with a rate of {rate:d} bytes a second")
 def _(context, rate):
     context.link = link_pacing.LinkPacer(float(rate))
 
 
-@when("{size:d} bytes of bulk are taken from the link")
+@when("{size:d} bytes of bulk are reserved on the link")
 def _(context, size):
     assert context.link.reserve(size, True, 10.0) == 0.0
 
@@ -60,8 +61,8 @@
     assert context.link.reserve(size, False, 10.0) == 0.0
 
 
-@then("many interactive bytes bar bulk for {most:f} s at most")
-def _(context, most):
+@then("many interactive bytes delay bulk by {limit:f} s at most")
+def _(context, limit):
     for _ in range(100):
         context.link.reserve(1_000_000, False, 20.0)
-    assert context.link.reserve(1, True, 20.0) <= most
+    assert context.link.reserve(1, True, 20.0) <= limit
--- a/tests/steps/core/steering/lookup_steps.py
+++ b/tests/steps/core/steering/lookup_steps.py
@@ -10,7 +10,7 @@
 from hyssopfold.core.steering import lookup
 
 REGIONS = ("dar", "arusha", "mwanza")
-CALLERS = [f"10.1.{number % 7}.{number}" for number in range(300)]
+CALLER_ADDRESSES = [f"10.1.{number % 7}.{number}" for number in range(300)]
 
 
 def _entry(region, domain, number):
@@ -22,7 +22,7 @@
 
 
 def _rank(context):
-    return [context.index.rank(one, REGIONS) for one in CALLERS]
+    return [context.index.rank(caller, REGIONS) for caller in CALLER_ADDRESSES]
 
 
 @given(
@@ -49,33 +49,35 @@
     context.index.update(context.entries.values())
 
 
-@when('look-ups hear that "{name}" is leaving')
+@when('the look-up index learns that "{name}" is leaving')
 def _(context, name):
     _change(context, name, state="leaving")
 
 
-@when('look-ups hear that "{name}" has a load of {load:d}')
+@when('the look-up index learns that "{name}" has a load of {load:d}')
 def _(context, name, load):
     _change(context, name, load=float(load))
 
 
-@when('look-ups hear no more of "{region}"')
+@when('the look-up index has no more entries of "{region}"')
 def _(context, region):
-    left = [one for one in context.entries.values() if one.region != region]
-    context.index.update(left)
+    remaining = [
+        entry for entry in context.entries.values() if entry.region != region
+    ]
+    context.index.update(remaining)
 
 
 @then(
     "300 callers get 4 entries: 3 of {region} in both failure domains,"
-    " then 1 near"
+    " then 1 of the next"
 )
 def _(context, region):
     for ranked in _rank(context):
-        assert len({one.name for one in ranked}) == 4
-        assert [one.region for one in ranked[:3]] == [region] * 3
-        assert len({one.failure_domain for one in ranked[:2]}) == 2
-        after = REGIONS[REGIONS.index(region) + 1]
-        assert ranked[3].region == after
+        assert len({entry.name for entry in ranked}) == 4
+        assert [entry.region for entry in ranked[:3]] == [region] * 3
+        assert len({entry.failure_domain for entry in ranked[:2]}) == 2
+        next_region = REGIONS[REGIONS.index(region) + 1]
+        assert ranked[3].region == next_region
 
 
 @then("each entry of dar is first for {low:f} to {high:f} of them")
@@ -83,22 +85,24 @@
     counts = Counter(context.first)
     assert len(counts) == 4, counts
     for count in counts.values():
-        assert low <= count / len(CALLERS) <= high, counts
+        assert low <= count / len(CALLER_ADDRESSES) <= high, counts
 
 
 @then('no caller is sent to "{name}" and all others keep their first entry')
 def _(context, name):
-    for before, ranked in zip(context.first, _rank(context), strict=True):
-        assert name not in {one.name for one in ranked}
-        assert before in (name, ranked[0].name)
+    for previous, ranked in zip(context.first, _rank(context), strict=True):
+        assert name not in {entry.name for entry in ranked}
+        assert previous in (name, ranked[0].name)
 
 
-@then("look-ups may be cached for {short:f} s of {usual:d} s")
-def _(context, short, usual):
-    assert lookup.ttl_s(usual, context.index.is_changing) == short
+@then(
+    "answers to look-ups may be cached for {short:f} s instead of {normal:d} s"
+)
+def _(context, short, normal):
+    assert lookup.ttl_s(normal, context.index.is_changing) == short
 
 
 @then('"{name}" is first for {low:f} to {high:f} of 300 callers')
 def _(context, name, low, high):
     counts = Counter(ranked[0].name for ranked in _rank(context))
-    assert low <= counts[name] / len(CALLERS) <= high, counts
+    assert low <= counts[name] / len(CALLER_ADDRESSES) <= high, counts
--- a/tests/steps/tables_steps.py
+++ b/tests/steps/tables_steps.py
@@ -24,13 +24,13 @@
     context.tables = tables.parse(text, path)
 
 
-@then("they read back alike from YAML and from canonical bytes")
+@then("they are read back unchanged from YAML and from the canonical encoding")
 def _(context):
-    held = context.tables
-    assert held.routes
-    assert tables.parse(tables.to_yaml(held, 7)) == held
-    encoded = tables.encode(held)
-    assert tables.decode(encoded) == held
+    original = context.tables
+    assert original.routes
+    assert tables.parse(tables.to_yaml(original, 7)) == original
+    encoded = tables.encode(original)
+    assert tables.decode(encoded) == original
     assert tables.encode(tables.decode(encoded)) == encoded
 
 
@@ -46,9 +46,9 @@
 
 @then("the faults are")
 def _(context):
-    found = [(str(fault.line), fault.where) for fault in context.faults]
-    wanted = [(row["line"], row["where"]) for row in context.table]
-    assert found == wanted, context.faults
+    actual = [(str(fault.line), fault.where) for fault in context.faults]
+    expected = [(row["line"], row["where"]) for row in context.table]
+    assert actual == expected, context.faults
 
 
 @then("{count:d} fault is found")
--- a/tests/tables.feature
+++ b/tests/tables.feature
@@ -1,15 +1,15 @@
 Feature: tables of routes and pools
-  An operator leaves a typing error in the tables. If the file were taken in
-  part, some callers would be routed by a row nobody meant. The whole file is
-  refused, with every fault at its line.
+  An operator makes a typing error in the tables. If only the valid rows were
+  accepted, some callers would be routed by rows that the operator did not
+  intend. The whole file is refused, and every fault is listed with its line.
 
-  Scenario: good tables keep their meaning through every form
+  Scenario: valid tables are unchanged by encoding and decoding
     Given the tables of "examples/mrema.yaml"
-    Then they read back alike from YAML and from canonical bytes
+    Then they are read back unchanged from YAML and from the canonical encoding
 
-  Scenario: the second example is good too
+  Scenario: the tables of the second example are valid
     Given the tables of "examples/recarga.yaml"
-    Then they read back alike from YAML and from canonical bytes
+    Then they are read back unchanged from YAML and from the canonical encoding
 
   Scenario: every fault is listed with its line
     When these tables are checked
@@ -36,7 +36,7 @@
       | line | where    |
       | 2    | document |
 
-  Scenario: a bottomless document is refused
+  Scenario: a too deeply nested document is refused
     When tables nested 200 deep are checked
     Then 1 fault is found
 
