--- a/bench/shift_model.py
+++ b/bench/shift_model.py
@@ -1,4 +1,4 @@
-"""Headroom kept, time taken and refusals of shifts, for both deployments.
+"""Headroom, duration and refusals of shifts in pools of several sizes.
 
 python -m bench.shift_model --seed 1 [--plot shifts.png]
 """
@@ -11,11 +11,11 @@
 
 LOADS = (0.5, 0.7)
 MAX_MINUTES = 40
-KEYS = 24
+KEYS_PER_ENTRY = 24
 
 
 class Deployment(NamedTuple):
-    """A pool of one of the two deployments of today."""
+    """A pool as it is deployed: its regions, slots and limits."""
 
     name: str
     regions: tuple[str, ...]
@@ -41,7 +41,7 @@
 
 
 class Row(NamedTuple):
-    """What one case gave; shares are of the pool's traffic or slots."""
+    """Result of a case; shares are of the pool's traffic or slots."""
 
     deployment: str
     load: float
@@ -53,15 +53,21 @@
     left: float
 
 
-class Watch:
-    """Run a world until its first region is empty or whole again."""
+class ShiftRun:
+    """Shifts out of the first region of a deployment and back to it.
+
+    Args:
+        deployment: The pool.
+        load: Share of the slots that callers keep busy.
+        seed: Seed of the simulation.
+    """
 
     def __init__(self, deployment, load, seed):
         self.deployment = deployment
         self.load = load
-        self.first = deployment.regions[0]
-        each = deployment.slots / len(deployment.regions)
-        self.offered = each * load
+        self.first_region = deployment.regions[0]
+        slots_per_region = deployment.slots / len(deployment.regions)
+        self.offered = slots_per_region * load
         self.tables = tables.parse(
             f"""
 routes: [{{name: all, path_prefix: /, pool: pool}}]
@@ -74,62 +80,73 @@
 """
         )
         sites = [
-            shift_simulation.Site(name, each, self.offered)
+            shift_simulation.Site(name, slots_per_region, self.offered)
             for name in deployment.regions
         ]
-        self.world = shift_simulation.Simulation(
-            self.tables, sites, nodes=3, keys=KEYS, seed=seed,
+        self.simulation = shift_simulation.Simulation(
+            self.tables, sites, nodes=3, keys=KEYS_PER_ENTRY, seed=seed,
             clocks_s=(0.0, 1.0, -1.0),
         )  # fmt: skip
-        self.world.run(20)
-
-    def until(self, case, want):
-        """Return the row of a case that ends when `want` is true."""
-        world = self.world
-        world.reset_cap_measurement()
-        began, refused, free = world.now, 0.0, 1.0
-        ended = None
-        while world.now - began < MAX_MINUTES * 60:
-            world.step()
-            refused = max(refused, world.share(shift_simulation.REFUSED))
-            free = min(free, *(self._free(n) for n in world.sites))
-            if ended is None and want(world):
-                ended = world.now - began
-            if ended is not None and world.now - began > ended + 60:
+        self.simulation.run(20)
+
+    def run_until(self, case, is_finished):
+        """Run until a minute after `is_finished` is true; return the row."""
+        simulation = self.simulation
+        simulation.reset_cap_measurement()
+        started_at, refused, least_free = simulation.now, 0.0, 1.0
+        duration_s = None
+        while simulation.now - started_at < MAX_MINUTES * 60:
+            simulation.step()
+            refused = max(refused, simulation.share(shift_simulation.REFUSED))
+            least_free = min(
+                least_free, *(self._free_share(n) for n in simulation.sites)
+            )
+            if duration_s is None and is_finished(simulation):
+                duration_s = simulation.now - started_at
+            if (
+                duration_s is not None
+                and simulation.now - started_at > duration_s + 60
+            ):
                 break
-        minutes = (ended if ended is not None else float("nan")) / 60
-        left = world.served[self.first] / self.offered
+        minutes = (duration_s if duration_s is not None else float("nan")) / 60
+        remaining = simulation.served[self.first_region] / self.offered
         return Row(
             self.deployment.name, self.load, case, minutes,
-            world.most_moved, refused, free, left,
+            simulation.most_moved, refused, least_free, remaining,
         )  # fmt: skip
 
-    def _free(self, name):
-        room = self.world.capacity(name)
-        return (room - self.world.busy[name]) / room if room else 1.0
+    def _free_share(self, name):
+        capacity = self.simulation.capacity(name)
+        return (
+            (capacity - self.simulation.busy[name]) / capacity
+            if capacity
+            else 1.0
+        )
 
     def rows(self):
-        """Return the rows of a drain, a return, a loss and its return."""
-        first, world = self.first, self.world
+        """Yield the rows of a drain, a return, a loss and the next return."""
+        first_region, simulation = self.first_region, self.simulation
         offered = self.offered
 
-        def empty(world):
-            return world.served[first] == 0
+        def is_empty(simulation):
+            return simulation.served[first_region] == 0
 
-        def whole(world):
-            return world.served[first] > offered * 0.99
+        def is_restored(simulation):
+            return simulation.served[first_region] > offered * 0.99
 
-        world.apply(shift_simulation.with_drains(self.tables, regions=(first,)))
-        yield self.until("region drained", empty)
-        world.apply(self.tables)
-        if empty(world):
-            # Its servers have been idle: their caches are cold.
-            world.restore(first)
-        yield self.until("region returns from the drain", whole)
-        world.lose(first)
-        yield self.until("region lost", empty)
-        world.restore(first)
-        yield self.until("lost region returns, cold", whole)
+        simulation.apply(
+            shift_simulation.with_drains(self.tables, regions=(first_region,))
+        )
+        yield self.run_until("region drained", is_empty)
+        simulation.apply(self.tables)
+        if is_empty(simulation):
+            # Its servers have been idle, so their caches are cold.
+            simulation.restore(first_region)
+        yield self.run_until("region returns from the drain", is_restored)
+        simulation.lose(first_region)
+        yield self.run_until("region lost", is_empty)
+        simulation.restore(first_region)
+        yield self.run_until("lost region returns, cold", is_restored)
 
 
 def run(seed):
@@ -138,7 +155,7 @@
         row
         for deployment in DEPLOYMENTS
         for load in LOADS
-        for row in Watch(deployment, load, seed).rows()
+        for row in ShiftRun(deployment, load, seed).rows()
     ]
 
 
@@ -153,7 +170,7 @@
 
 
 def main():
-    """Print the table."""
+    """Print the table of all rows."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--plot", help="file for a plot")
--- a/spec/shift_spec.py
+++ b/spec/shift_spec.py
@@ -1,10 +1,15 @@
-"""Specification of a shift: two entries, a plan replaced midway, clocks apart.
-
-Shares are whole steps of the cap in a tick. An entry hears of a plan up to two
-ticks late, restarts by asking the other, or is frozen. It holds: no entry
-moves faster than the cap, a restarted one stands where a running one stands or
-did, and both end at the newest plan's target. Run as a script: it checks
-every state, then that each broken variant fails.
+"""Specification of a shift of traffic between two regions.
+
+Two entries follow a plan that may be replaced midway; the clock of the first
+entry is wrong. The share that an entry has moved is counted in units of the
+cap per tick. An entry receives a plan up to two ticks late, may be frozen, and
+adopts the share of the other entry when it restarts.
+
+The checked properties: no entry moves faster than the cap, no entry moves away
+from the target of a replaced plan, an entry that restarts adopts a share of the
+other entry without a jump, and the first entry reaches the target of the
+newest plan. Run as a script, the module checks all states and then that each
+broken variant violates a property.
 """
 
 import sys
@@ -12,13 +17,13 @@
 
 import minicheck
 
-FULL = 3
+FULL_SHARE = 3
 HORIZON = 9
-LATE = 2
+MAX_DELAY_TICKS = 2
 
 
 class Variant(NamedTuple):
-    """What an entry does wrong."""
+    """Faults of an entry's algorithm; all False is the correct algorithm."""
 
     follows_clock: bool = False
     restarts_by_clock: bool = False
@@ -31,48 +36,54 @@
     "replaced_at",
     "share_a",
     "share_b",
-    "heard_a",
-    "heard_b",
+    "plan_a",
+    "plan_b",
     "skew_a",
-    "stopped_b",
+    "frozen_ticks_b",
     "moved_a",
     "moved_b",
     "jumped",
-    "away",
+    "reversed",
 )
 
 
-def _target(heard):
-    """Return the share that the newest plan heard of ends at."""
-    return FULL if heard == 1 else 0
+def _target(plan):
+    """Return the share at the end of a plan, 1 or its replacement, 2."""
+    return FULL_SHARE if plan == 1 else 0
 
 
-def _plan(heard, tick, replaced_at, skew, variant):
-    """Return the share that the plan heard of wants at a clock."""
-    now = tick + skew
-    if heard == 1:
-        return max(0, min(FULL, now))
-    source = min(FULL, replaced_at)
+def _planned_share(plan, tick, replaced_at, skew, variant):
+    """Return the share that a plan implies at a clock with an error `skew`."""
+    local_tick = tick + skew
+    if plan == 1:
+        return max(0, min(FULL_SHARE, local_tick))
+    source = min(FULL_SHARE, replaced_at)
     if variant.replaces_from_start:
-        source = FULL
-    return max(0, min(FULL, source - max(0, now - replaced_at)))
+        source = FULL_SHARE
+    return max(0, min(FULL_SHARE, source - max(0, local_tick - replaced_at)))
 
 
-def _step(share, wanted, variant, passed=1):
-    """Return the share after a tick: towards the plan, by a step at most."""
+def _next_share(share, desired, variant, elapsed_ticks=1):
+    """Return the share after a tick: at most one step towards the plan."""
     if variant.follows_clock:
-        return wanted
-    most = passed if variant.catches_up else 1
-    return share + max(-most, min(most, wanted - share))
+        return desired
+    max_step = elapsed_ticks if variant.catches_up else 1
+    return share + max(-max_step, min(max_step, desired - share))
+
 
+def _desired_share(plan, tick, replaced_at, skew, variant):
+    """Return the share to move to: by the clock or by the age of the plan.
 
-def _wanted(heard, tick, replaced_at, skew, variant):
-    """Return what an entry moves to: by clock, or by time since it heard."""
-    by_clock = _plan(heard, tick, replaced_at, skew, variant)
-    by_age = _plan(heard, tick - LATE, replaced_at, 0, variant)
+    Of the two, it is the share closer to the plan's target. The age is the
+    time since the plan was received, so a wrong clock can't delay the shift.
+    """
+    by_clock = _planned_share(plan, tick, replaced_at, skew, variant)
+    by_age = _planned_share(
+        plan, tick - MAX_DELAY_TICKS, replaced_at, 0, variant
+    )
     if variant.follows_clock:
         return by_clock
-    target = _target(heard)
+    target = _target(plan)
     return min((by_clock, by_age), key=lambda share: abs(target - share))
 
 
@@ -80,65 +91,97 @@
     """Return the transition function of a variant."""
 
     def step(state):
-        (tick, replaced_at, a, b, heard_a, heard_b, skew, stopped, *_) = state
+        (
+            tick,
+            replaced_at,
+            share_a,
+            share_b,
+            plan_a,
+            plan_b,
+            skew,
+            frozen_ticks,
+            *_,
+        ) = state
         if tick >= HORIZON:
             return []
-        following = []
+        successors = []
         tick += 1
         choices = [replaced_at]
-        if replaced_at < 0 and 1 <= tick <= FULL:
+        if replaced_at < 0 and 1 <= tick <= FULL_SHARE:
             choices.append(tick)
-        for replaced in choices:
-            newest = 2 if replaced >= 0 else 1
-            must = replaced >= 0 and tick >= replaced + LATE
-            hears_a = {newest} if must else {heard_a, newest}
-            hears_b = {newest} if must else {heard_b, newest}
-            for new_a in hears_a:
-                wanted = _wanted(new_a, tick, replaced, skew, variant)
-                after_a = _step(a, wanted, variant)
-                # Beyond where the new plan began, and yet further from its end.
-                away = int(new_a == 2 and after_a > a >= min(FULL, replaced))
-                for new_b in hears_b:
+        for new_replaced_at in choices:
+            newest_plan = 2 if new_replaced_at >= 0 else 1
+            is_overdue = (
+                new_replaced_at >= 0
+                and tick >= new_replaced_at + MAX_DELAY_TICKS
+            )
+            plans_a = {newest_plan} if is_overdue else {plan_a, newest_plan}
+            plans_b = {newest_plan} if is_overdue else {plan_b, newest_plan}
+            for new_plan_a in plans_a:
+                desired = _desired_share(
+                    new_plan_a, tick, new_replaced_at, skew, variant
+                )
+                new_share_a = _next_share(share_a, desired, variant)
+                # Moved away from the target, beyond the start of the new plan.
+                is_reversed = int(
+                    new_plan_a == 2
+                    and new_share_a
+                    > share_a
+                    >= min(FULL_SHARE, new_replaced_at)
+                )
+                for new_plan_b in plans_b:
                     for event in ("runs", "freezes", "restarts"):
-                        after_b, still, jumped = _other(
-                            event, b, a, stopped, new_b, tick, replaced,
-                            skew, variant,
+                        new_share_b, new_frozen_ticks, jumped = _second_entry(
+                            event, share_b, share_a, frozen_ticks, new_plan_b,
+                            tick, new_replaced_at, skew, variant,
                         )  # fmt: skip
-                        if still > 2:
+                        if new_frozen_ticks > 2:
                             continue
-                        following.append(
+                        successors.append(
                             (
                                 event,
                                 (
-                                    tick, replaced, after_a, after_b, new_a,
-                                    new_b, skew, still, abs(after_a - a),
+                                    tick, new_replaced_at, new_share_a,
+                                    new_share_b, new_plan_a, new_plan_b, skew,
+                                    new_frozen_ticks,
+                                    abs(new_share_a - share_a),
                                     0 if event == "restarts"
-                                    else abs(after_b - b),
+                                    else abs(new_share_b - share_b),
                                     jumped,
-                                    away,
+                                    is_reversed,
                                 ),
                             )
                         )  # fmt: skip
-        return following
+        return successors
 
     return step
 
 
-def _other(event, b, a, stopped, heard, tick, replaced, skew, variant):
-    """Return the second entry's share, ticks frozen, and if it jumped."""
+def _second_entry(
+    event,
+    share_b,
+    share_a,
+    frozen_ticks,
+    plan,
+    tick,
+    replaced_at,
+    skew,
+    variant,
+):
+    """Return the second entry's share, frozen ticks, and whether it jumped."""
     if event == "freezes":
-        return b, stopped + 1, 0
+        return share_b, frozen_ticks + 1, 0
     if event == "restarts":
         if variant.restarts_by_clock:
-            after = _plan(heard, tick, replaced, skew, variant)
-            return after, 0, int(abs(after - a) > 1)
-        return a, 0, 0
-    wanted = _wanted(heard, tick, replaced, 0, variant)
-    return _step(b, wanted, variant, 1 + stopped), 0, 0
+            planned = _planned_share(plan, tick, replaced_at, skew, variant)
+            return planned, 0, int(abs(planned - share_a) > 1)
+        return share_a, 0, 0
+    desired = _desired_share(plan, tick, replaced_at, 0, variant)
+    return _next_share(share_b, desired, variant, 1 + frozen_ticks), 0, 0
 
 
 def check(variant, skew):
-    """Return the properties' results for a variant and a wrong clock."""
+    """Return the results of the properties for a variant and a clock error."""
     protocol = minicheck.Protocol(
         name=f"shift {variant} skew {skew}",
         candidate=False,
@@ -148,33 +191,35 @@
         invariants={
             "first_under_cap": lambda s: s["moved_a"] <= 1,
             "second_under_cap": lambda s: s["moved_b"] <= 1,
-            "never_away": lambda s: not s["away"],
+            "never_away": lambda s: not s["reversed"],
             "restart_no_jump": lambda s: not s["jumped"],
             "ends_at_target": lambda s: (
-                s["tick"] < HORIZON or s["share_a"] == _target(s["heard_a"])
+                s["tick"] < HORIZON or s["share_a"] == _target(s["plan_a"])
             ),
         },
     )
-    found = minicheck.check_safety(protocol)
+    result = minicheck.check_safety(protocol)
     return {
-        name: one["holds"] for name, one in found["properties"].items()
-    }, found
+        name: prop["holds"] for name, prop in result["properties"].items()
+    }, result
 
 
 def main():
-    """Check the specification and its broken variants."""
-    good = True
+    """Check the specification, then that the broken variants fail."""
+    is_correct = True
     for skew in (-2, 0, 2):
         holds, _ = check(Variant(), skew)
         print(f"shift, clock of the first entry {skew:+d}: {holds}")
-        good = good and all(holds.values())
+        is_correct = is_correct and all(holds.values())
     for field in Variant._fields:
         variant = Variant(**{field: True})
         results = [check(variant, skew)[0] for skew in (-2, 0, 2)]
-        failed = {n for holds in results for n, ok in holds.items() if not ok}
+        failed = {
+            name for holds in results for name, ok in holds.items() if not ok
+        }
         print(f"broken, {field}: fails {sorted(failed)}")
-        good = good and bool(failed)
-    return 0 if good else 1
+        is_correct = is_correct and bool(failed)
+    return 0 if is_correct else 1
 
 
 if __name__ == "__main__":
