--- a/bench/shift_model.py
+++ b/bench/shift_model.py
@@ -50,7 +50,7 @@
     most_moved: float
     refused: float
     least_free: float
-    left: float
+    remaining: float
 
 
 class ShiftRun:
--- a/hyssopfold/core/steering/client_blocks.py
+++ b/hyssopfold/core/steering/client_blocks.py
@@ -276,7 +276,7 @@
         ValueError: if the table was built on a machine of another byte order.
     """
     if header.byteorder != sys.byteorder:
-        raise ValueError(f"a table built on a {sys.byteorder} endian machine")
+        raise ValueError(f"a byte order that is not {sys.byteorder} endian")
     return [array.array(typecode) for typecode in _ARRAY_TYPECODES * 2]
 
 
@@ -291,7 +291,7 @@
     for version, family_arrays in ((4, arrays[:half]), (6, arrays[half:])):
         buckets, offsets, starts, sites = family_arrays
         if len(offsets) != len(buckets) + 1 or len(starts) != len(sites):
-            raise ValueError("a complete table")
+            raise ValueError("arrays of inconsistent lengths")
         table.restore(version, family_arrays)
     return table
 
@@ -351,21 +351,21 @@
     """
     sites: list[Site] = []
     table: Table | None = None
-    for number, line in enumerate(lines, 1):
-        words = line.split()
-        if not words or words[0].startswith("#"):
+    for line_number, line in enumerate(lines, 1):
+        fields = line.split()
+        if not fields or fields[0].startswith("#"):
             continue
         try:
-            if words[0] == "site":
-                _, name, region = words
+            if fields[0] == "site":
+                _, name, region = fields
                 sites.append(Site(name, region))
                 _check_sites(sites, table)
                 continue
             table = table or Table(sites)
-            prefix, site = words
+            prefix, site = fields
             table.add(parse_block(prefix), site)
         except ValueError as exc:
-            raise _document_error(source, number, line, exc) from exc
+            raise _document_error(source, line_number, line, exc) from exc
     table = table or Table(sites)
     table.finish()
     return table
@@ -379,15 +379,15 @@
             it have been applied.
     """
     count = 0
-    for number, line in enumerate(lines, 1):
-        words = line.split()
-        if not words or words[0].startswith("#"):
+    for line_number, line in enumerate(lines, 1):
+        fields = line.split()
+        if not fields or fields[0].startswith("#"):
             continue
         try:
-            prefix, site = words
+            prefix, site = fields
             table.assign(parse_block(prefix), None if site == "-" else site)
         except ValueError as exc:
-            raise _document_error(source, number, line, exc) from exc
+            raise _document_error(source, line_number, line, exc) from exc
         count += 1
     return count
 
@@ -400,9 +400,9 @@
 
 
 def _document_error(
-    source: str, number: int, line: str, exc: ValueError
+    source: str, line_number: int, line: str, exc: ValueError
 ) -> errors.InvalidDocumentError:
     fault = errors.Fault(
-        source, number, "client block", line.strip()[:80], str(exc)
+        source, line_number, "client block", line.strip()[:80], str(exc)
     )
     return errors.InvalidDocumentError([fault])
--- a/hyssopfold/core/steering/layouts.py
+++ b/hyssopfold/core/steering/layouts.py
@@ -4,16 +4,14 @@
 import functools
 
 from hyssopfold import state
-from hyssopfold import tables as tables_module
+from hyssopfold import tables
 
 
-def of_pool(
-    tables: tables_module.Tables, pool: tables_module.Pool
-) -> state.Layout:
+def of_pool(revision_tables: tables.Tables, pool: tables.Pool) -> state.Layout:
     """Return the layout that the tables ask for the traffic of `pool`."""
     routes = tuple(
         state.RouteWeights(route.name, _normalised(route.weights))
-        for route in tables.routes
+        for route in revision_tables.routes
         if route.pool == pool.name
     )
     return state.Layout(
--- a/hyssopfold/core/steering/plans.py
+++ b/hyssopfold/core/steering/plans.py
@@ -12,7 +12,7 @@
 
 from hyssopfold import errors
 from hyssopfold import state
-from hyssopfold import tables as tables_module
+from hyssopfold import tables
 from hyssopfold.core.steering import layouts
 
 MAX_PARTS = 32
@@ -23,7 +23,7 @@
 
 
 def after_edit(
-    old: state.State, new: tables_module.Tables, utc_s: float
+    old: state.State, new: tables.Tables, utc_s: float
 ) -> state.State:
     """Return the state to submit for an edit of the tables of `old`.
 
@@ -46,8 +46,8 @@
 
 def _shift_of(
     old: state.State,
-    new: tables_module.Tables,
-    pool: tables_module.Pool,
+    new: tables.Tables,
+    pool: tables.Pool,
     utc_s: float,
 ) -> state.Shift | None:
     pool_before = old.tables.pool(pool.name)
@@ -76,7 +76,7 @@
     return state.Shift(pool.name, parts, target, utc_s, rate)
 
 
-def _raise_too_many_parts(pool: tables_module.Pool) -> NoReturn:
+def _raise_too_many_parts(pool: tables.Pool) -> NoReturn:
     fault = errors.Fault(
         "tables",
         1,
@@ -87,7 +87,7 @@
     raise errors.InvalidDocumentError([fault])
 
 
-def _rate_per_minute(pool: tables_module.Pool, to_go: float) -> float:
+def _rate_per_minute(pool: tables.Pool, to_go: float) -> float:
     rate = pool.shift_cap / to_go
     if pool.warm_up_s > 0:
         # A shift faster than the warm-up would overload cold servers, which
--- a/hyssopfold/core/steering/shares.py
+++ b/hyssopfold/core/steering/shares.py
@@ -1,8 +1,8 @@
 """The shares in force at one node: it follows the plans of shifts under a cap.
 
-Two words name the outcomes of requests that a shift moved. A request is gained
-if it was served at the target of the shift, and turned back if the target had
-no free slots and it was served where it was before.
+A request that a shift moved has one of two outcomes: it is "gained" if it was
+served at the target of the shift, and "turned back" if the target had no free
+slots and the request was served where it was before.
 """
 
 from collections.abc import Iterable
@@ -12,7 +12,7 @@
 from typing import NamedTuple
 
 from hyssopfold import state
-from hyssopfold import tables as tables_module
+from hyssopfold import tables
 from hyssopfold.core.steering import layouts
 from hyssopfold.core.steering import plans
 from hyssopfold.core.steering import regions
@@ -87,7 +87,7 @@
 
     def __init__(
         self,
-        pool: tables_module.Pool,
+        pool: tables.Pool,
         target: state.Layout,
         plan: state.Shift | None,
         now: float,
@@ -113,7 +113,7 @@
 
     def update(
         self,
-        pool: tables_module.Pool,
+        pool: tables.Pool,
         target: state.Layout,
         plan: state.Shift | None,
         now: float,
@@ -279,7 +279,7 @@
 
     def decide(
         self,
-        route: tables_module.Route,
+        route: tables.Route,
         ctx: regions.SteeringContext,
         key: str,
     ) -> regions.Decision:
@@ -332,7 +332,7 @@
         self,
         layout: state.Layout,
         names: tuple[str, ...],
-        route: tables_module.Route,
+        route: tables.Route,
         ctx: regions.SteeringContext,
         numbers: tuple[int, ...],
     ) -> regions.Decision:
@@ -357,7 +357,7 @@
     def _preference_order(
         self,
         layout: state.Layout,
-        route: tables_module.Route,
+        route: tables.Route,
         ctx: regions.SteeringContext,
         numbers: tuple[int, ...],
     ) -> tuple[str, ...]:
@@ -369,7 +369,7 @@
     def _previous_region(
         self,
         names: tuple[str, ...],
-        route: tables_module.Route,
+        route: tables.Route,
         ctx: regions.SteeringContext,
         numbers: tuple[int, ...],
     ) -> str:
@@ -465,7 +465,7 @@
 
     def decide(
         self,
-        route: tables_module.Route,
+        route: tables.Route,
         ctx: regions.SteeringContext,
         key: str,
         pool_name: str = "",
--- a/hyssopfold/tables.py
+++ b/hyssopfold/tables.py
@@ -169,7 +169,7 @@
         "repeatable",
         documents.boolean,
         None,
-        help="whether a request may run twice; by method when left out",
+        help="whether a request may run twice; by method if omitted",
     ),
     documents.Field(
         "deadline_ms",
@@ -188,14 +188,14 @@
         "weights",
         documents.mapping_of(documents.number(float, 0, 1_000_000)),
         None,
-        help="share of each region; nearest region first when left out",
+        help="share of each region; nearest region first if omitted",
     ),
     documents.Field(
         "split",
         documents.mapping_of(documents.number(float, 0, 1_000_000)),
         None,
         help="share of each of several pools, `pool` among them; all go to"
-        " `pool` when left out",
+        " `pool` if omitted",
     ),
     documents.Field(
         "attempts",
@@ -220,7 +220,7 @@
         "allowed_regions",
         documents.list_of(documents.string()),
         (),
-        help="regions whose servers may serve the route; any when left out",
+        help="regions whose servers may serve the route; any if omitted",
     ),
 )
 
--- a/tests/steps/core/steering/shares_steps.py
+++ b/tests/steps/core/steering/shares_steps.py
@@ -13,7 +13,7 @@
 from hyssopfold import tables
 
 CAP = 0.1
-# Resolution of the measured shares: about one request of those of an entry.
+# Resolution of the measured shares: one of the requests drawn for an entry.
 GRAIN = 0.02
 STEPS_IN_RUN = 15
 TABLES = """
