--- a/bench/capacity/steering.py
+++ b/bench/capacity/steering.py
@@ -2,7 +2,7 @@
 
 import time
 
-from bench import shift_world
+from bench import shift_simulation
 from bench.capacity import slopes
 from hyssopfold import state
 from hyssopfold import tables
@@ -41,7 +41,7 @@
             for pool in first.pools
         )
     )
-    held = shares.Shares()
+    held = shares.TrafficShares()
     held.install(state.State(first), 0.0, 0.0)
     held.install(plans.after_edit(state.State(first), drained, 0.0), 1.0, 0.0)
     ready = {pool.name: frozenset("abc") for pool in first.pools}
@@ -50,11 +50,11 @@
 
 def _decide_us(count):
     names = tuple(f"region-{n}" for n in range(count))
-    first = shift_world.with_weights(_tables(1), dict.fromkeys(names, 1.0))
-    held = shares.Shares()
+    first = shift_simulation.with_weights(_tables(1), dict.fromkeys(names, 1.0))
+    held = shares.TrafficShares()
     held.install(state.State(first), 0.0, 0.0)
     held.step(0.1, 0.1, {"p0": frozenset(names)})
-    place = regions.Place(names[0], names, {})
+    place = regions.SteeringContext(names[0], names, {})
     return _us(lambda n: held.decide(first.routes[0], place, f"{n}"), _CALLS)
 
 
--- a/tests/steps/entry/steering_steps.py
+++ b/tests/steps/entry/steering_steps.py
@@ -7,16 +7,16 @@
 import trio
 import trio.testing
 
-from bench import shift_world
+from bench import shift_simulation
 from hyssopfold import state
 from hyssopfold import tables
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import messages
-from hyssopfold.core.steering import blocks
+from hyssopfold.core.steering import client_blocks
 from hyssopfold.core.steering import plans
 from hyssopfold.core.steering import shares
 from hyssopfold.entry import adoption
-from hyssopfold.entry import blocks as entry_blocks
+from hyssopfold.entry import blocks
 from hyssopfold.entry import configuration
 from hyssopfold.entry import status as entry_status
 from hyssopfold.entry import steering
@@ -61,8 +61,8 @@
 
 
 def _steering(context, region, lines):
-    clients = entry_blocks.Blocks("")
-    clients.table = blocks.parse(lines, "blocks")
+    clients = blocks.Blocks("")
+    clients.table = client_blocks.parse(lines, "blocks")
     delays = {"dar": 35.0, "arusha": 35.0}
     return steering.Steering(
         region, delays, context.configuration, context.known, clients
@@ -84,7 +84,7 @@
 
 @when("steering hears of a drain of dar and {minutes:d} minutes pass")
 def _(context, minutes):
-    drained = shift_world.with_drains(TABLES, regions=("dar",))
+    drained = shift_simulation.with_drains(TABLES, regions=("dar",))
     held = plans.after_edit(state.State(TABLES), drained, 0.0)
     context.configuration.snapshot = configuration.Snapshot(2, held)
     for entry in context.entries:
@@ -127,7 +127,7 @@
 
     answer = trio.run(read, clock=trio.testing.MockClock())
     body = msgspec.json.decode(answer.body)
-    started = shares.Shares()
+    started = shares.TrafficShares()
     # Its clock is an hour ahead: by it the drain is done.
     started.install(context.configuration.snapshot.held, 0.0, 3600.0)
     for pool, parts in adoption.parts_of(body["pools"]).items():
