--- a/bench/capacity/placement.py
+++ b/bench/capacity/placement.py
@@ -66,7 +66,7 @@
         self.bytes += len(data) + _UDP_BYTES
         self.messages += 1
         parcel = datagram_wire.decode(data)
-        assert isinstance(parcel, datagram_wire.Parcel)
+        assert isinstance(parcel, datagram_wire.ReceivedMessage)
         return parcel.message
 
     def ask(self, number: int, now: float) -> None:
--- a/bench/local_choice.py
+++ b/bench/local_choice.py
@@ -62,7 +62,7 @@
         message = messages.SilentServers(keys)
         data = datagram_wire.encode_message("entry-1", message)
         parcel = datagram_wire.decode(data)
-        assert isinstance(parcel, datagram_wire.Parcel)
+        assert isinstance(parcel, datagram_wire.ReceivedMessage)
         chooser.record_silent("entry-1", keys, 0.0)
     return len(data), (time.process_time() - began) / rounds * 1e6
 
--- a/hyssopfold/control/slot_votes.py
+++ b/hyssopfold/control/slot_votes.py
@@ -54,8 +54,8 @@
         votes = voter.Voter(
             self._me, trio.current_time(), states=load(self._data)
         )
-        parcel: datagram_wire.Parcel
-        async for parcel in self._spread.parcels:
+        parcel: datagram_wire.ReceivedMessage
+        async for parcel in self._spread.received_messages:
             now = trio.current_time()
             if isinstance(parcel.message, messages.Claim):
                 vote = votes.vote(parcel.message, now)
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -169,8 +169,8 @@
             self._spread.post_all(self._neighbours, messages.BusyServers(loads))
 
     async def _hear(self) -> None:
-        parcel: datagram_wire.Parcel
-        async for parcel in self._spread.parcels:
+        parcel: datagram_wire.ReceivedMessage
+        async for parcel in self._spread.received_messages:
             match parcel.message:
                 case messages.SilentServers(keys):
                     self._hear_silent(parcel.sender, keys)
--- a/hyssopfold/entry/placement.py
+++ b/hyssopfold/entry/placement.py
@@ -99,8 +99,8 @@
             await trio.sleep(TICK_S)
 
     async def _receive(self) -> None:
-        parcel: datagram_wire.Parcel
-        async for parcel in self._spread.parcels:
+        parcel: datagram_wire.ReceivedMessage
+        async for parcel in self._spread.received_messages:
             # Comes on a channel of its own.
             if not isinstance(parcel.message, quarantine.QuarantineUpdate):
                 self._handle(node.Received(parcel.sender, parcel.message))
--- a/hyssopfold/transport/crash_reports.py
+++ b/hyssopfold/transport/crash_reports.py
@@ -198,7 +198,7 @@
             await trio.sleep(period_s * self._rng.uniform(0.5, 1.0))
 
     async def _hear(self) -> None:
-        parcel: datagram_wire.Parcel
+        parcel: datagram_wire.ReceivedMessage
         async for parcel in self._parcels:
             told = parcel.message
             assert isinstance(told, quarantine.QuarantineUpdate)
--- a/hyssopfold/transport/datagram_wire.py
+++ b/hyssopfold/transport/datagram_wire.py
@@ -40,7 +40,7 @@
 Message = placement.Message | quarantine.QuarantineUpdate
 
 
-class Parcel(NamedTuple):
+class ReceivedMessage(NamedTuple):
     """A message for one task, and the name of its sender."""
 
     sender: str
@@ -81,7 +81,7 @@
     return bytes([number]) + msgspec.msgpack.encode((sender, message))
 
 
-def decode(data: bytes) -> messages.Datagram | Parcel:
+def decode(data: bytes) -> messages.Datagram | ReceivedMessage:
     """Return what is in `data`.
 
     Raises:
@@ -98,7 +98,7 @@
     if kind is None:
         raise msgspec.DecodeError(f"unknown kind {number}")
     sender, message = msgspec.msgpack.decode(rest, type=tuple[str, kind])
-    return Parcel(sender, message)
+    return ReceivedMessage(sender, message)
 
 
 def _unpack(packed: bytes) -> bytes:
--- a/hyssopfold/transport/gossip.py
+++ b/hyssopfold/transport/gossip.py
@@ -73,11 +73,11 @@
         # Messages that came, for the tasks that handle them: by their kind
         # for those that subscribed, and all others.
         self._inboxes: dict[
-            type, trio.MemorySendChannel[datagram_wire.Parcel]
+            type, trio.MemorySendChannel[datagram_wire.ReceivedMessage]
         ] = {}
-        self._parcels_in, self.parcels = trio.open_memory_channel[
-            datagram_wire.Parcel
-        ](_QUEUE)
+        self._received_messages_in, self.received_messages = (
+            trio.open_memory_channel[datagram_wire.ReceivedMessage](_QUEUE)
+        )
         # Kept beyond a lease: one that is silent may still be reached.
         self._addresses: dict[str, str] = {}
         self._news = trio.Event()
@@ -91,9 +91,11 @@
 
     def subscribe(
         self, kind: type
-    ) -> trio.MemoryReceiveChannel[datagram_wire.Parcel]:
+    ) -> trio.MemoryReceiveChannel[datagram_wire.ReceivedMessage]:
         """Return a channel on which messages of one kind come from now on."""
-        inbox, parcels = trio.open_memory_channel[datagram_wire.Parcel](_QUEUE)
+        inbox, parcels = trio.open_memory_channel[
+            datagram_wire.ReceivedMessage
+        ](_QUEUE)
         self._inboxes[kind] = inbox
         return parcels
 
@@ -228,7 +230,7 @@
             self._handle(datagram)
 
     def _handle(
-        self, datagram: messages.Datagram | datagram_wire.Parcel
+        self, datagram: messages.Datagram | datagram_wire.ReceivedMessage
     ) -> None:
         """Take a datagram in; one that fails is left out.
 
@@ -247,8 +249,10 @@
                 logs.Event("datagram-failed", sender=datagram.sender)
             )
 
-    def _deliver(self, parcel: datagram_wire.Parcel) -> None:
-        inbox = self._inboxes.get(type(parcel.message), self._parcels_in)
+    def _deliver(self, parcel: datagram_wire.ReceivedMessage) -> None:
+        inbox = self._inboxes.get(
+            type(parcel.message), self._received_messages_in
+        )
         try:
             inbox.send_nowait(parcel)
         except trio.WouldBlock:
