--- a/hyssopfold/control/adapters.py
+++ b/hyssopfold/control/adapters.py
@@ -4,8 +4,8 @@
 from typing import NamedTuple
 
 from hyssopfold import http
+from hyssopfold.control import announcement_acks
 from hyssopfold.control import api
-from hyssopfold.control import hearing
 from hyssopfold.control import instance
 from hyssopfold.control import orders
 from hyssopfold.transport import gossip
@@ -17,7 +17,7 @@
     api: api.Api
     instance: instance.Instance
     orders: orders.Orders
-    hearing: hearing.Hearing
+    announcement_acks: announcement_acks.AnnouncementAcks
     spread: gossip.Gossip
 
 
--- a/hyssopfold/control/hearing.py
+++ b/hyssopfold/control/announcement_acks.py
@@ -21,7 +21,7 @@
 MAX_AGE_S = 3.0
 
 
-class Hearing:
+class AnnouncementAcks:
     """Take in announcements where they can be passed on.
 
     Args:
--- a/hyssopfold/control_parts.py
+++ b/hyssopfold/control_parts.py
@@ -12,8 +12,8 @@
 from hyssopfold import security
 from hyssopfold import settings
 from hyssopfold.control import adapters as control_adapters
+from hyssopfold.control import announcement_acks
 from hyssopfold.control import api
-from hyssopfold.control import hearing
 from hyssopfold.control import instance
 from hyssopfold.control import quarantine_records
 from hyssopfold.control import slot_votes
@@ -115,7 +115,9 @@
             self.operators,
             self._member,
             self.operators.orders,
-            hearing.Hearing(self._member, self.spread, self._confirmations),
+            announcement_acks.AnnouncementAcks(
+                self._member, self.spread, self._confirmations
+            ),
             self.spread,
         )
 
