--- a/hyssopfold/application.py
+++ b/hyssopfold/application.py
@@ -58,7 +58,9 @@
     with folder.DataFolder(cfg.data_folder) as data:
         control = control_parts.Control(cfg, adapters, data)
         reloader = control.shared.reloader
-        _follow_settings(cfg, source, reloader, control.spread.set_seeds)
+        _follow_settings(
+            cfg, source, reloader, control.gossip_service.set_seeds
+        )
         await _run_daemon(
             cfg,
             control.apps,
--- a/hyssopfold/control/adapters.py
+++ b/hyssopfold/control/adapters.py
@@ -18,7 +18,7 @@
     instance: instance.Instance
     orders: orders.Orders
     announcement_acks: announcement_acks.AnnouncementAcks
-    spread: gossip.Gossip
+    gossip_service: gossip.Gossip
 
 
 class ControlAdapters(NamedTuple):
--- a/hyssopfold/control/announcement_acks.py
+++ b/hyssopfold/control/announcement_acks.py
@@ -26,23 +26,23 @@
 
     Args:
         instance: The member of the register that this process runs.
-        spread: Spreads announcements.
+        gossip_service: Spreads announcements.
         confirmed: Tells when a majority was last heard of.
     """
 
     def __init__(
         self,
         instance: control_instance.Instance,
-        spread: gossip.Gossip,
+        gossip_service: gossip.Gossip,
         confirmed: publisher.Confirmations,
     ) -> None:
         self._instance = instance
-        self._spread = spread
+        self._gossip = gossip_service
         self._confirmed = confirmed
 
     async def announce(self, server: messages.Server) -> bool:
         """Take in a server's word; return whether to acknowledge it."""
-        self._spread.announce(server)
+        self._gossip.announce(server)
         if server.state == "leaving":
             return await self._confirm()
         if not self._instance.register.members:
@@ -52,7 +52,7 @@
 
     async def dismiss(self, server_id: str) -> bool:
         """Take a server out; return whether to acknowledge it."""
-        self._spread.dismiss(server_id)
+        self._gossip.dismiss(server_id)
         return await self._confirm()
 
     async def _confirm(self) -> bool:
--- a/hyssopfold/control/api.py
+++ b/hyssopfold/control/api.py
@@ -51,7 +51,7 @@
 
     Args:
         instance: The member behind this API.
-        spread: Where announcements go.
+        gossip_service: Where announcements go.
         meter: Metrics of this process.
         operators: Lets operators through.
         announcers: Lets backend servers through.
@@ -60,7 +60,7 @@
     def __init__(
         self,
         instance: control_instance.Instance,
-        spread: gossip.Gossip,
+        gossip_service: gossip.Gossip,
         meter: metrics.Metrics,
         operators: access.Guard,
         announcers: access.Guard,
@@ -68,8 +68,8 @@
         self._operators = operators
         self._announcers = announcers
         self._instance = instance
-        self.orders = control_orders.Orders(instance, spread.directory)
-        self._spread = spread
+        self.orders = control_orders.Orders(instance, gossip_service.directory)
+        self._gossip = gossip_service
         self._meter = meter
 
     async def __call__(
@@ -90,7 +90,7 @@
         method, path = scope["method"], scope["path"]
         if method == "PUT" and path.startswith(announcements.PATH):
             return await announcements.answer(
-                self._spread, scope, receive, self._announcers
+                self._gossip, scope, receive, self._announcers
             )
         if not path.startswith(_OPEN):
             refusal = self._operators.refuse(scope)
@@ -126,11 +126,11 @@
             case "/hyssop/v1/readyz":
                 return await self._ready()
             case instances.PATH:
-                return instances.answer(self._spread)
+                return instances.answer(self._gossip)
             case "/metrics":
                 revision = self._instance.register.revision
                 self._meter.revision.set({}, revision)
-                self._meter.set_gossip(self._spread.sent_bytes)
+                self._meter.set_gossip(self._gossip.sent_bytes)
                 return self._meter.render()
         return http.json_answer(
             {"error": "not-found", "remedy": "see docs/operators"}, 404
--- a/hyssopfold/control/slot_votes.py
+++ b/hyssopfold/control/slot_votes.py
@@ -36,18 +36,18 @@
     Args:
         me: This life of the control instance.
         data: Where votes are kept.
-        spread: Carries claims and votes.
+        gossip_service: Carries claims and votes.
     """
 
     def __init__(
         self,
         me: messages.Member,
         data: folder.DataFolder,
-        spread: gossip.Gossip,
+        gossip_service: gossip.Gossip,
     ) -> None:
         self._me = me
         self._data = data
-        self._spread = spread
+        self._gossip = gossip_service
 
     async def run(self) -> None:
         """Take in claims until cancelled."""
@@ -55,7 +55,7 @@
             self._me, trio.current_time(), states=load(self._data)
         )
         parcel: datagram_wire.ReceivedMessage
-        async for parcel in self._spread.received_messages:
+        async for parcel in self._gossip.received_messages:
             now = trio.current_time()
             if isinstance(parcel.message, messages.Claim):
                 vote = votes.vote(parcel.message, now)
@@ -64,6 +64,6 @@
                         list(votes.durable().items())
                     )
                     self._data.write(RECORD, record)
-                self._spread.post(parcel.message.candidate.name, vote)
+                self._gossip.post(parcel.message.candidate.name, vote)
             elif isinstance(parcel.message, messages.Resign):
                 votes.resign(parcel.message, now)
--- a/hyssopfold/control_parts.py
+++ b/hyssopfold/control_parts.py
@@ -60,7 +60,7 @@
         )
         held = self._member.register
         self._publisher.publish(held.revision, held.value)
-        self.spread = gossip.Gossip(
+        self.gossip_service = gossip.Gossip(
             identity.myself(cfg, "control"),
             cfg.gossip_seeds,
             cfg.lease_s,
@@ -69,18 +69,22 @@
         )
         self._kept = quarantine_records.QuarantineRecords(data, time.time)
         self._crashes = crash_reports.CrashReports(
-            self.spread, self.rng, self._kept.note, self._kept.load()
+            self.gossip_service, self.rng, self._kept.note, self._kept.load()
         )
         self._votes = slot_votes.SlotVotes(
-            identity.member(self.spread.myself), data, self.spread
+            identity.member(self.gossip_service.myself),
+            data,
+            self.gossip_service,
         )
         self._member.listeners += [
             self._publisher.publish,
-            lambda revision, _: self.spread.update_self(revision=revision),
+            lambda revision, _: self.gossip_service.update_self(
+                revision=revision
+            ),
         ]
         self.operators = api.Api(
             self._member,
-            self.spread,
+            self.gossip_service,
             metrics.Metrics(cfg.name),
             self.shared.operators,
             self.shared.announcers,
@@ -116,9 +120,9 @@
             self._member,
             self.operators.orders,
             announcement_acks.AnnouncementAcks(
-                self._member, self.spread, self._confirmations
+                self._member, self.gossip_service, self._confirmations
             ),
-            self.spread,
+            self.gossip_service,
         )
 
     def children(self) -> list[Child]:
@@ -132,7 +136,7 @@
         )
         return [
             ("member", self._member.run),
-            ("gossip", self.spread.run),
+            ("gossip", self.gossip_service.run),
             ("slot-votes", self._votes.run),
             ("crash-reports", self._crashes.run),
             ("quarantine-records", self._kept.run),
--- a/hyssopfold/transport/crash_reports.py
+++ b/hyssopfold/transport/crash_reports.py
@@ -48,7 +48,7 @@
     finds what was lost on its way, or is new to an instance that has started.
 
     Args:
-        spread: Carries the messages, and knows the other instances.
+        gossip_service: Carries the messages, and knows the other instances.
         rng: Draws whom to tell.
         on_change: Called after news of what all are to know.
         known: What was known before the start.
@@ -56,17 +56,17 @@
 
     def __init__(
         self,
-        spread: gossip.Gossip,
+        gossip_service: gossip.Gossip,
         rng: random.Random,
         on_change: Callable[[quarantine.Quarantine], None] = _ignore,
         known: Iterable[quarantine.Report] = (),
     ) -> None:
-        self.table = quarantine.Quarantine(spread.myself.name)
-        self._spread = spread
+        self.table = quarantine.Quarantine(gossip_service.myself.name)
+        self._gossip = gossip_service
         self._rng = rng
         self._on_change = on_change
         self._known = tuple(known)
-        self._parcels = spread.subscribe(quarantine.QuarantineUpdate)
+        self._parcels = gossip_service.subscribe(quarantine.QuarantineUpdate)
         self._news: dict[bytes, None] = {}
         # How often each request is to be reported again.
         self._repeats: dict[bytes, int] = {}
@@ -77,7 +77,7 @@
 
     def holds(self, fingerprint: bytes, attempt: str) -> bool:
         """Return whether an attempt must not be sent to any server now."""
-        entries = self._spread.directory.ready_entries()
+        entries = self._gossip.directory.ready_entries()
         names = [one.name for one in entries]
         now = trio.current_time()
         return not self.table.may_run(fingerprint, attempt, names, now)
@@ -101,14 +101,14 @@
         self._tell_holders(fingerprint)
 
     def _tell_holders(self, fingerprint: bytes) -> None:
-        names = [one.name for one in self._spread.live_instances()]
+        names = [one.name for one in self._gossip.live_instances()]
         holders = affinity.rank_unweighted(fingerprint.hex(), names)
         report = self.table.report(fingerprint, trio.current_time())
-        me = self._spread.myself.name
+        me = self._gossip.myself.name
         others = [
             one for one in holders[: quarantine.COUNTING_INSTANCES] if one != me
         ]
-        self._spread.post_all(others, quarantine.QuarantineUpdate((report,)))
+        self._gossip.post_all(others, quarantine.QuarantineUpdate((report,)))
 
     def _note(self, fingerprints: Iterable[bytes]) -> None:
         """Take up what changed, if it concerns all instances."""
@@ -138,8 +138,8 @@
             nursery.start_soon(self._compare)
 
     def _draw(self, count: int) -> list[str]:
-        me = self._spread.myself.name
-        names = [one.name for one in self._spread.live_instances()]
+        me = self._gossip.myself.name
+        names = [one.name for one in self._gossip.live_instances()]
         others = [name for name in names if name != me]
         return self._rng.sample(others, min(count, len(others)))
 
@@ -176,9 +176,9 @@
         if digest != quarantine.NO_DIGEST and not parts:
             parts = [()]
         for part in parts[:-1]:
-            self._spread.post_all(names, quarantine.QuarantineUpdate(part))
+            self._gossip.post_all(names, quarantine.QuarantineUpdate(part))
         for part in parts[-1:]:
-            self._spread.post_all(
+            self._gossip.post_all(
                 names, quarantine.QuarantineUpdate(part, digest)
             )
 
@@ -193,7 +193,7 @@
             asked = quarantine.QuarantineUpdate(
                 (), self.table.digest, expects_reply=True
             )
-            self._spread.post_all(self._draw(count), asked)
+            self._gossip.post_all(self._draw(count), asked)
             period_s = START_COMPARE_S if is_start else COMPARE_S
             await trio.sleep(period_s * self._rng.uniform(0.5, 1.0))
 
