--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -162,16 +162,18 @@
 
     async def _read_suspect(self) -> None:
         """Read what tells whether a request is one that may be held back."""
-        if self._parts.quarantine.knows(self._exchange.fingerprint_head):
+        if self._parts.quarantine.may_be_quarantined(
+            self._exchange.fingerprint_head
+        ):
             await self._exchange.read_ahead()
 
     def _is_held(self, effect: events.Acquire) -> bool:
         """Return whether the next attempt is held back, as far as is known."""
         held, exchange = self._parts.quarantine, self._exchange
-        if not held.knows(exchange.fingerprint_head):
+        if not held.may_be_quarantined(exchange.fingerprint_head):
             return False
         attempt_id = f"{exchange.request_id} {len(effect.tried)}"
-        return held.holds(exchange.fingerprint, attempt_id)
+        return held.is_blocked(exchange.fingerprint, attempt_id)
 
     def _avoid(self, tried: tuple[str, ...]) -> list[tuple[str, ...]]:
         """Return what to avoid: failure domains tried, else servers tried."""
@@ -295,7 +297,7 @@
         done = self._done(kind, answering)
         self._parts.placement.release(grant, done)
         if done.healthy:
-            self._parts.quarantine.answered(self._exchange.fingerprint)
+            self._parts.quarantine.record_answer(self._exchange.fingerprint)
         self._log_attempt(grant, done, answering)
         if kind == "failed":
             self._check_server(grant.server)
--- a/hyssopfold/entry/carrier_parts.py
+++ b/hyssopfold/entry/carrier_parts.py
@@ -37,13 +37,13 @@
 class Quarantine(Protocol):
     """Requests that are held back since servers crashed under them."""
 
-    def knows(self, head: bytes) -> bool:
+    def may_be_quarantined(self, head: bytes) -> bool:
         """Return whether a request with this head may be held back."""
 
-    def holds(self, fingerprint: bytes, attempt: str) -> bool:
+    def is_blocked(self, fingerprint: bytes, attempt: str) -> bool:
         """Return whether an attempt must not be sent to any server now."""
 
-    def answered(self, fingerprint: bytes) -> None:
+    def record_answer(self, fingerprint: bytes) -> None:
         """Take in that a request was answered."""
 
 
--- a/hyssopfold/entry/crash_checks.py
+++ b/hyssopfold/entry/crash_checks.py
@@ -31,7 +31,7 @@
 class Reports(Protocol):
     """What keeps count of crashes."""
 
-    def crashed(self, server: messages.Server, fingerprint: bytes) -> None:
+    def record_crash(self, server: messages.Server, fingerprint: bytes) -> None:
         """Take in that a server crashed under a request."""
 
 
@@ -84,4 +84,4 @@
                 pool=server.pool,
             )
         )
-        self._reports.crashed(server, broken.fingerprint)
+        self._reports.record_crash(server, broken.fingerprint)
--- a/hyssopfold/transport/crash_reports.py
+++ b/hyssopfold/transport/crash_reports.py
@@ -71,18 +71,18 @@
         # How often each request is to be reported again.
         self._repeats: dict[bytes, int] = {}
 
-    def knows(self, head: bytes) -> bool:
+    def may_be_quarantined(self, head: bytes) -> bool:
         """Return whether a request with this head may be held back."""
         return self.table.has_head(head)
 
-    def holds(self, fingerprint: bytes, attempt: str) -> bool:
+    def is_blocked(self, fingerprint: bytes, attempt: str) -> bool:
         """Return whether an attempt must not be sent to any server now."""
         entries = self._gossip.directory.ready_entries()
         names = [one.name for one in entries]
         now = trio.current_time()
         return not self.table.may_run(fingerprint, attempt, names, now)
 
-    def crashed(self, server: messages.Server, fingerprint: bytes) -> None:
+    def record_crash(self, server: messages.Server, fingerprint: bytes) -> None:
         """Take in that a server crashed under a request of this entry."""
         key = server_stats.incarnation_key(server.server_id, server.incarnation)
         now = trio.current_time()
@@ -90,7 +90,7 @@
             self._note([fingerprint])
             self._report(fingerprint)
 
-    def answered(self, fingerprint: bytes) -> None:
+    def record_answer(self, fingerprint: bytes) -> None:
         """Take in that a request of this entry was answered."""
         if self.table.record_answer(fingerprint, trio.current_time()):
             self._note([fingerprint])
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -122,16 +122,16 @@
         self.sound = []
         self.counted = []
 
-    def knows(self, head):
+    def may_be_quarantined(self, head):
         return any(one.startswith(head) for one in self.held)
 
-    def holds(self, fingerprint, attempt):
+    def is_blocked(self, fingerprint, attempt):
         return fingerprint in self.held
 
-    def answered(self, fingerprint):
+    def record_answer(self, fingerprint):
         self.sound.append(fingerprint)
 
-    def crashed(self, server, fingerprint):
+    def record_crash(self, server, fingerprint):
         self.counted.append((server.server_id, fingerprint))
 
 
--- a/tests/support/fake_reports.py
+++ b/tests/support/fake_reports.py
@@ -131,14 +131,14 @@
             f"s{number}", "ledger", "10.0.0.1:80", "dar", "dar-1", 3, 330,
             "ready", 1, 1, 0.0,
         )  # fmt: skip
-        self.reports[name].crashed(server, fingerprint)
+        self.reports[name].record_crash(server, fingerprint)
 
     def holding(self, fingerprint):
         """Return the instances that hold a request back."""
         return [
             name
             for name, one in self.reports.items()
-            if one.holds(fingerprint, "r1 0")
+            if one.is_blocked(fingerprint, "r1 0")
         ]
 
     def digests(self):
