--- a/hyssopfold/control/quarantine_records.py
+++ b/hyssopfold/control/quarantine_records.py
@@ -70,7 +70,7 @@
             one._replace(age_s=one.age_s + passed_s) for one in kept.reports
         )
 
-    def note(self, table: quarantine.Quarantine) -> None:
+    def schedule_write(self, table: quarantine.Quarantine) -> None:
         """Write the quarantine soon: it has changed."""
         self._table = table
         self._changed.set()
--- a/hyssopfold/control_parts.py
+++ b/hyssopfold/control_parts.py
@@ -69,7 +69,10 @@
         )
         self._kept = quarantine_records.QuarantineRecords(data, time.time)
         self._crashes = crash_reports.CrashReports(
-            self.gossip_service, self.rng, self._kept.note, self._kept.load()
+            self.gossip_service,
+            self.rng,
+            self._kept.schedule_write,
+            self._kept.load(),
         )
         self._votes = slot_votes.SlotVotes(
             identity.member(self.gossip_service.myself),
--- a/tests/steps/control/quarantine_records_steps.py
+++ b/tests/steps/control/quarantine_records_steps.py
@@ -67,7 +67,7 @@
         now = trio.current_time()
         table.record_crash(_REQUEST, 1, now - age)
         table.record_crash(_REQUEST, 2, now - age)
-        context.kept.note(table)
+        context.kept.schedule_write(table)
         with trio.move_on_after(2 * quarantine_records.BATCH_S):
             await context.kept.run()
 
--- a/tests/support/fake_reports.py
+++ b/tests/support/fake_reports.py
@@ -86,7 +86,7 @@
                 data, trio.current_time, run_at_once
             )
             made = crash_reports.CrashReports(
-                spread, rng, kept.note, kept.load()
+                spread, rng, kept.schedule_write, kept.load()
             )
             nursery.start_soon(self._run, name, kept.run)
         self.reports[name] = made
