--- a/hyssopfold/transport/gossip.py
+++ b/hyssopfold/transport/gossip.py
@@ -22,7 +22,7 @@
 from hyssopfold.core.membership import spread
 from hyssopfold.transport import auth
 from hyssopfold.transport import datagram_wire
-from hyssopfold.transport import traffic
+from hyssopfold.transport import traffic_counter
 
 logger = logging.getLogger(__name__)
 
@@ -81,7 +81,9 @@
         # Kept beyond a lease: one that is silent may still be reached.
         self._addresses: dict[str, str] = {}
         self._news = trio.Event()
-        self._traffic = traffic.Traffic(myself, self.directory)
+        self._traffic_counter = traffic_counter.TrafficCounter(
+            myself, self.directory
+        )
 
     @property
     def _core(self) -> spread.Spread:
@@ -140,7 +142,7 @@
     @property
     def sent_bytes(self) -> Mapping[tuple[str, str], int]:
         """Return the bytes of datagrams sent, by purpose and distance."""
-        return self._traffic.sent_bytes
+        return self._traffic_counter.sent_bytes
 
     @property
     def ready(self) -> bool:
@@ -164,7 +166,7 @@
                 self._addresses[name] = held.gossip_address
             address = self._addresses.get(name)
             if address is not None:
-                self._traffic.count(address, purpose, data)
+                self._traffic_counter.count(address, purpose, data)
                 self._queue(address, data)
 
     def _queue(self, address: str, data: bytes) -> None:
@@ -183,7 +185,9 @@
                     datagram = effect.datagram
                     encoded = datagram_wire.encode(datagram)
                 for data in encoded:
-                    self._traffic.count(effect.address, effect.purpose, data)
+                    self._traffic_counter.count(
+                        effect.address, effect.purpose, data
+                    )
                     self._queue(effect.address, data)
             else:
                 logger.info(logs.Event("member-changed", **effect._asdict()))
--- a/hyssopfold/transport/traffic.py
+++ b/hyssopfold/transport/traffic_counter.py
@@ -12,7 +12,7 @@
 Distance = Literal["failure-domain", "region", "far", "unknown"]
 
 
-class Traffic:
+class TrafficCounter:
     """Count the datagrams of one process.
 
     Args:
