--- a/bench/control/cluster.py
+++ b/bench/control/cluster.py
@@ -40,7 +40,11 @@
     """
 
     def __init__(
-        self, address: str, links: rpc.Links, delay_s: float, traffic: Traffic
+        self,
+        address: str,
+        links: rpc.ConnectionConfig,
+        delay_s: float,
+        traffic: Traffic,
     ) -> None:
         self._client = rpc.Client(address, links)
         self._delay_s = delay_s
@@ -116,7 +120,7 @@
         delay_s: One-way delay between any two.
     """
     traffic = Traffic()
-    links = rpc.Links(auth.load("", False), random.Random(1))
+    links = rpc.ConnectionConfig(auth.load("", False), random.Random(1))
     connect = functools.partial(
         SlowClient, links=links, delay_s=delay_s, traffic=traffic
     )
--- a/bench/distribution.py
+++ b/bench/distribution.py
@@ -133,7 +133,9 @@
 
     def __init__(self, entries: int, seed: int) -> None:
         rng = random.Random(seed)
-        links = rpc.Links(auth.Keyring((b"a-shared-key-for-bench",)), rng)
+        links = rpc.ConnectionConfig(
+            auth.Keyring((b"a-shared-key-for-bench",)), rng
+        )
         self.links = links
         self.addresses = [loopback.free_address() for _ in range(CONTROL)]
         self.publishers = [
--- a/hyssopfold/control_parts.py
+++ b/hyssopfold/control_parts.py
@@ -114,7 +114,7 @@
             0 if cfg.control else cfg.voters,
             cfg.region,
         )
-        connect = functools.partial(rpc.Client, links=self.shared.links)
+        connect = functools.partial(rpc.Client, cfg=self.shared.links)
         return instance.Instance(register, kept, connect, cfg.edit_timeout_s)
 
     def _outside(self) -> control_adapters.ControlParts:
--- a/hyssopfold/security.py
+++ b/hyssopfold/security.py
@@ -36,7 +36,7 @@
 class Security(NamedTuple):
     """What the parts of a process use to know whom they talk to."""
 
-    links: rpc.Links
+    links: rpc.ConnectionConfig
     operators: access.Guard
     announcers: access.Guard
     tls: certificates.Server | None
@@ -119,12 +119,12 @@
     cfg: settings.ControlSettings | settings.EntrySettings,
     rng: random.Random,
     reloader: reloading.Reloader,
-) -> rpc.Links:
+) -> rpc.ConnectionConfig:
     keyring = auth.load(cfg.peer_key_file, cfg.peer_key_required)
     if cfg.peer_key_file:
         use = functools.partial(auth.reload, keyring, cfg.peer_key_file)
         reloader.watch((cfg.peer_key_file,), use)
-    links = rpc.Links(keyring, rng)
+    links = rpc.ConnectionConfig(keyring, rng)
     if not cfg.peer_certificate_file:
         return links
     files = certificates.Files(
--- a/hyssopfold/transport/rpc.py
+++ b/hyssopfold/transport/rpc.py
@@ -162,7 +162,7 @@
 async def serve(
     address: str,
     handlers: dict[Method, Handler],
-    links: "Links",
+    cfg: "ConnectionConfig",
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
     """Serve `handlers` on `address` until cancelled.
@@ -175,11 +175,11 @@
     host, _, port = address.rpartition(":")
     server = grpclib.server.Server(
         [_Service(handlers)],
-        codec=codec.MsgpackCodec(links.keyring),
+        codec=codec.MsgpackCodec(cfg.keyring),
         # The serving end frees what a peer left behind, without haste.
         config=_heartbeats(_SERVER_HEARTBEAT_S, True),
     )
-    start = functools.partial(server.start, ssl=links.server_tls)
+    start = functools.partial(server.start, ssl=cfg.server_tls)
     try:
         await trio_asyncio.aio_as_trio(start)(host, int(port))
     except OSError as exc:
@@ -218,7 +218,7 @@
     )
 
 
-class Links(NamedTuple):
+class ConnectionConfig(NamedTuple):
     """What all connections of a process have in common."""
 
     keyring: auth.Keyring
@@ -231,7 +231,7 @@
 class _Connection:
     """One channel, and what is known of its life."""
 
-    def __init__(self, address: str, links: Links) -> None:
+    def __init__(self, address: str, cfg: ConnectionConfig) -> None:
         host, _, port = address.rpartition(":")
         self.heard_at = -math.inf
         self.calls = 0
@@ -239,9 +239,9 @@
         self.channel = grpclib.client.Channel(
             host,
             int(port),
-            codec=codec.MsgpackCodec(links.keyring, self._hear),
-            config=_heartbeats(links.heartbeat_s, False),
-            ssl=links.client_tls,
+            codec=codec.MsgpackCodec(cfg.keyring, self._hear),
+            config=_heartbeats(cfg.heartbeat_s, False),
+            ssl=cfg.client_tls,
         )
 
     def _hear(self) -> None:
@@ -263,12 +263,12 @@
 
     Args:
         address: IP number and port of the peer.
-        links: What all connections of this process have in common.
+        cfg: What all connections of this process have in common.
     """
 
-    def __init__(self, address: str, links: Links) -> None:
+    def __init__(self, address: str, cfg: ConnectionConfig) -> None:
         self.address = address
-        self._links = links
+        self._cfg = cfg
         self._connection: _Connection | None = None
         self._calls = 0
         self._refusals = 0
@@ -320,7 +320,7 @@
         if isinstance(exc, OSError) and not isinstance(exc, TimeoutError):
             backoff_s = FIRST_BACKOFF_S * 2 ** min(self._refusals, 10)
             self._refusals += 1
-            jitter = self._links.rng.uniform(0.5, 1.0)
+            jitter = self._cfg.rng.uniform(0.5, 1.0)
             now = trio.current_time()
             self._retry_at = now + min(backoff_s, MAX_BACKOFF_S) * jitter
         if self._connection is conn:
@@ -333,7 +333,7 @@
 
     def _open(self) -> _Connection:
         if self._connection is None:
-            self._connection = _Connection(self.address, self._links)
+            self._connection = _Connection(self.address, self._cfg)
         return self._connection
 
     def close(self) -> None:
@@ -347,12 +347,12 @@
     """Clients to peers whose addresses are learned while running.
 
     Args:
-        links: What all connections of this process have in common.
+        cfg: What all connections of this process have in common.
         max_clients: Most connections kept; the longest unused one is closed.
     """
 
-    def __init__(self, links: Links, max_clients: int = 16) -> None:
-        self._links = links
+    def __init__(self, cfg: ConnectionConfig, max_clients: int = 16) -> None:
+        self._cfg = cfg
         self._max_clients = max_clients
         self._clients: dict[str, Client] = {}
 
@@ -360,7 +360,7 @@
         """Return the client to `address`."""
         client = self._clients.pop(address, None)
         if client is None:
-            client = Client(address, self._links)
+            client = Client(address, self._cfg)
         self._clients[address] = client
         if len(self._clients) > self._max_clients:
             oldest = next(iter(self._clients))
--- a/tests/steps/entry/configuration_steps.py
+++ b/tests/steps/entry/configuration_steps.py
@@ -166,7 +166,7 @@
 
 def _entry(name, address):
     rng = random.Random(1)
-    links = rpc.Links(auth.Keyring((b"a-shared-key-of-ours",)), rng)
+    links = rpc.ConnectionConfig(auth.Keyring((b"a-shared-key-of-ours",)), rng)
     control = [rpc.Client(address, links)]
     return links, configuration.Configuration(
         name, control, rpc.Clients(links), rng
--- a/tests/steps/security_steps.py
+++ b/tests/steps/security_steps.py
@@ -291,7 +291,7 @@
 
 @when("peers with a certificate of ours, a stranger's and none call it")
 def _(context):
-    links = rpc.Links(auth.Keyring(), random.Random(1))
+    links = rpc.ConnectionConfig(auth.Keyring(), random.Random(1))
     address = loopback.free_address()
     bare = ssl.create_default_context(cafile=str(KEYS / "ca.pem"))
     contexts = [
--- a/tests/steps/transport/rpc_steps.py
+++ b/tests/steps/transport/rpc_steps.py
@@ -73,7 +73,9 @@
 
 def _links(*keys):
     rng = random.Random(1)
-    return rpc.Links(auth.Keyring(keys), rng, heartbeat_s=HEARTBEAT_S)
+    return rpc.ConnectionConfig(
+        auth.Keyring(keys), rng, heartbeat_s=HEARTBEAT_S
+    )
 
 
 class Server:
