--- a/hyssopfold/entry/claims.py
+++ b/hyssopfold/entry/claims.py
@@ -189,7 +189,7 @@
         entry = self._directory.instances.get(name)
         if entry is None:
             raise errors.PeerUnavailableError(name, "it is gone")
-        client = self._peers.to(entry.rpc_address)
+        client = self._peers.client_for(entry.rpc_address)
         return await client.call(method, req, CALL_TIMEOUT_S)
 
     def handlers(self) -> dict[rpc.Method, rpc.Handler]:
--- a/hyssopfold/entry/configuration.py
+++ b/hyssopfold/entry/configuration.py
@@ -135,7 +135,7 @@
         event: messages.Event
         client = self._control.get(effect.source)
         if client is None:
-            client = self._peers.to(effect.source)
+            client = self._peers.client_for(effect.source)
         req = poll_wire.Poll(
             self._name,
             effect.have,
--- a/hyssopfold/transport/rpc.py
+++ b/hyssopfold/transport/rpc.py
@@ -356,7 +356,7 @@
         self._max_clients = max_clients
         self._clients: dict[str, Client] = {}
 
-    def to(self, address: str) -> Client:
+    def client_for(self, address: str) -> Client:
         """Return the client to `address`."""
         client = self._clients.pop(address, None)
         if client is None:
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -162,7 +162,7 @@
             core_claims.ClaimTable(),
         )
 
-    def to(self, address):
+    def client_for(self, address):
         """Return a client to an entry."""
         return _FakeClient(self, address)
 
