--- a/hyssopfold/control/instance.py
+++ b/hyssopfold/control/instance.py
@@ -150,7 +150,7 @@
     ) -> consensus_wire.Ack:
         """Take in a message of another member."""
         try:
-            message = consensus_wire.unseal(envelope)
+            message = consensus_wire.unwrap(envelope)
         except msgspec.DecodeError as exc:
             logger.warning(
                 logs.Event("bad-message", sender=envelope.sender, error=exc)
--- a/hyssopfold/control/outboxes.py
+++ b/hyssopfold/control/outboxes.py
@@ -98,7 +98,7 @@
             # to rounds that are over, and would only delay the new.
             if trio.current_time() - item.queued_at > SEND_TIMEOUT_S:
                 continue
-            envelope = consensus_wire.seal(self._sender, item.message)
+            envelope = consensus_wire.wrap(self._sender, item.message)
             try:
                 await client.call(
                     consensus_wire.DELIVER, envelope, SEND_TIMEOUT_S
--- a/hyssopfold/transport/consensus_wire.py
+++ b/hyssopfold/transport/consensus_wire.py
@@ -25,13 +25,13 @@
 _KINDS = {kind.__name__: kind for kind in messages.MESSAGE_TYPES}
 
 
-def seal(sender: str, message: messages.Message) -> Envelope:
+def wrap(sender: str, message: messages.Message) -> Envelope:
     """Return the envelope that carries `message`."""
     body = msgspec.msgpack.encode(message)
     return Envelope(sender, type(message).__name__, body)
 
 
-def unseal(envelope: Envelope) -> messages.Message:
+def unwrap(envelope: Envelope) -> messages.Message:
     """Return the message in an envelope.
 
     Raises:
--- a/tests/steps/fuzz/inputs_steps.py
+++ b/tests/steps/fuzz/inputs_steps.py
@@ -97,13 +97,13 @@
 
 def _example_envelope():
     message = consensus.Prepare(consensus.Ballot(3, "control-1#a"), "c")
-    return consensus_wire.seal("control-1", message)
+    return consensus_wire.wrap("control-1", message)
 
 
 def _read_envelope(data):
     for kind in consensus.MESSAGE_TYPES:
         envelope = consensus_wire.Envelope("x", kind.__name__, data)
-        _expect_refusal(consensus_wire.unseal, envelope)
+        _expect_refusal(consensus_wire.unwrap, envelope)
 
 
 def _read_settings(text, place):
