--- a/hyssopfold/control/api.py
+++ b/hyssopfold/control/api.py
@@ -198,7 +198,7 @@
         name = urllib.parse.unquote(path.removeprefix(_EVACUATIONS))
         kind = orders.Evacuate if method == "PUT" else orders.EndEvacuation
         # Sent again after its end, the same order is a new one.
-        result = await self.orders.carry_out(uuid.uuid4().hex, kind(name))
+        result = await self.orders.execute(uuid.uuid4().hex, kind(name))
         return state_answers.order_answer(result, name)
 
     async def _get_tables(self) -> http.Answer:
--- a/hyssopfold/control/orders.py
+++ b/hyssopfold/control/orders.py
@@ -69,7 +69,7 @@
         self._instance = instance
         self._directory = known
 
-    async def carry_out(self, change_id: str, order: orders.Order) -> Result:
+    async def execute(self, change_id: str, order: orders.Order) -> Result:
         """Return what became of an order.
 
         The same order may be sent again under the same `change_id`, to any
--- a/tests/steps/control/orders_steps.py
+++ b/tests/steps/control/orders_steps.py
@@ -113,8 +113,8 @@
     async def main():
         taker = control_orders.Orders(context.ordering)
 
-        async def carry_out(name, order):
-            result = await taker.carry_out(name, order)
+        async def execute(name, order):
+            result = await taker.execute(name, order)
             context.order_results.append(result)
 
         async with trio.open_nursery() as nursery:
@@ -123,7 +123,7 @@
             for call in context.order_calls:
                 async with trio.open_nursery() as together:
                     for name, order in call:
-                        together.start_soon(carry_out, name, order)
+                        together.start_soon(execute, name, order)
             nursery.cancel_scope.cancel()
 
     clock = trio.testing.MockClock(autojump_threshold=0)
