--- a/hyssopfold/transport/__init__.py
+++ b/hyssopfold/transport/__init__.py
@@ -1,1 +1,1 @@
-"""Channels between the processes of the system."""
+"""Gossip over UDP and gRPC calls between the instances of the system."""
--- a/hyssopfold/transport/claims_wire.py
+++ b/hyssopfold/transport/claims_wire.py
@@ -1,4 +1,4 @@
-"""Messages by which entries hold each other's claims, as they travel."""
+"""RPC methods by which entries keep claims for each other."""
 
 from typing import NamedTuple
 
@@ -7,13 +7,13 @@
 
 
 class Handover(NamedTuple):
-    """The claims of an entry that leaves."""
+    """Request: the claims of an entry that is leaving."""
 
     claims: tuple[claims.Claim, ...]
 
 
 class Done(NamedTuple):
-    """Nothing but that it was taken in."""
+    """Response: the request was processed."""
 
     ok: bool = True
 
--- a/hyssopfold/transport/codec.py
+++ b/hyssopfold/transport/codec.py
@@ -1,8 +1,8 @@
 """MessagePack codec for gRPC, in place of generated protobuf classes.
 
-Two versions of the program talk to each other during an upgrade. Fields are
-only ever appended to a message and have defaults: what an older program
-leaves out takes its default, and what a newer one adds is passed over.
+During an upgrade two versions of the program exchange messages. New fields are
+only appended to a message and have defaults: a field that an older program
+omits gets its default, and a field that a newer program adds is ignored.
 """
 
 from collections.abc import Callable
@@ -18,46 +18,54 @@
 
 
 def decode(data: bytes, kind: Any) -> Any:
-    """Return the message in `data`, whatever a newer program appended to it.
+    """Decode a message; fields that a newer program appended are ignored.
+
+    Args:
+        data: The encoded message.
+        kind: Type of the message, a `NamedTuple`.
 
     Raises:
-        msgspec.DecodeError: on bytes that are no such message.
+        msgspec.DecodeError: if the bytes are not a message of this type.
     """
     try:
         return msgspec.msgpack.decode(data, type=kind)
     except msgspec.ValidationError:
-        known = _known(msgspec.msgpack.decode(data), kind)
-        return msgspec.convert(known, kind)
+        fields = _drop_unknown(msgspec.msgpack.decode(data), kind)
+        return msgspec.convert(fields, kind)
 
 
-def _known(value: Any, kind: Any) -> Any:
-    """Return `value` without the fields that `kind` does not know."""
+def _drop_unknown(value: Any, kind: Any) -> Any:
+    """Return `value` without the fields that `kind` does not define."""
     if not isinstance(value, list):
         return value
     if hasattr(kind, "_fields"):
         kinds = typing.get_type_hints(kind).values()
-        return [_known(*pair) for pair in zip(value, kinds, strict=False)]
+        return [
+            _drop_unknown(*pair) for pair in zip(value, kinds, strict=False)
+        ]
     arguments = typing.get_args(kind)
     if typing.get_origin(kind) in (tuple, list) and arguments:
-        return [_known(item, arguments[0]) for item in value]
+        return [_drop_unknown(item, arguments[0]) for item in value]
     return value
 
 
 class MsgpackCodec(grpclib.encoding.base.CodecBase):
-    """Encode `NamedTuple` messages; the method's type decides decoding.
+    """gRPC codec for `NamedTuple` messages, decoded by the method's types.
 
     Args:
-        keyring: Seals each message that leaves, opens each that comes.
-        heard: Called for each message that could be decoded.
+        keyring: Seals sent messages and verifies received ones.
+        on_message: Called after each message that was decoded.
     """
 
     __content_subtype__ = "msgpack"
 
     def __init__(
-        self, keyring: auth.Keyring, heard: Callable[[], None] | None = None
+        self,
+        keyring: auth.Keyring,
+        on_message: Callable[[], None] | None = None,
     ) -> None:
         self._keyring = keyring
-        self._heard = heard
+        self._on_message = on_message
 
     def encode(self, message: Any, message_type: Any) -> bytes:
         """Return the sealed bytes of `message`."""
@@ -65,14 +73,14 @@
         return self._keyring.seal(message_type.__name__, data)
 
     def decode(self, data: bytes, message_type: Any) -> Any:
-        """Return the message of `data`, checked against its type.
+        """Verify and decode a message.
 
         Raises:
-            msgspec.DecodeError: on bytes that are no such message, or that
-                are not from a peer that holds one of our keys.
+            msgspec.DecodeError: if the bytes are not a message of this type,
+                or were not sealed with one of our keys.
         """
         opened = self._keyring.open(message_type.__name__, data)
         message = decode(opened, message_type)
-        if self._heard is not None:
-            self._heard()
+        if self._on_message is not None:
+            self._on_message()
         return message
--- a/hyssopfold/transport/consensus_wire.py
+++ b/hyssopfold/transport/consensus_wire.py
@@ -1,4 +1,4 @@
-"""Messages of the replicated register, as they travel."""
+"""RPC method that delivers messages of the replicated register."""
 
 from typing import NamedTuple
 
@@ -9,7 +9,7 @@
 
 
 class Envelope(NamedTuple):
-    """A message with its sender; `kind` names the type of `body`."""
+    """Request: an encoded message with its sender; `kind` names its type."""
 
     sender: str
     kind: str
@@ -17,7 +17,7 @@
 
 
 class Ack(NamedTuple):
-    """The message arrived; its answer comes as a message of its own."""
+    """Response: the message arrived; a reply to it is a separate message."""
 
 
 DELIVER = rpc.Method("Deliver", Envelope, Ack)
@@ -26,7 +26,12 @@
 
 
 def wrap(sender: str, message: messages.Message) -> Envelope:
-    """Return the envelope that carries `message`."""
+    """Return `message` in an envelope.
+
+    Args:
+        sender: Id of the sending member.
+        message: The message to encode.
+    """
     body = msgspec.msgpack.encode(message)
     return Envelope(sender, type(message).__name__, body)
 
@@ -35,7 +40,8 @@
     """Return the message in an envelope.
 
     Raises:
-        msgspec.DecodeError: on an unknown kind or a body that does not fit.
+        msgspec.DecodeError: if the kind is unknown or the body does not match
+            it.
     """
     kind = _KINDS.get(envelope.kind)
     if kind is None:
--- a/hyssopfold/transport/crash_reports.py
+++ b/hyssopfold/transport/crash_reports.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of requests under which servers crashed."""
+"""Exchange of reports on requests under which backend servers crashed."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -18,40 +18,47 @@
 
 logger = logging.getLogger(__name__)
 
-# How long news is gathered, and to how many instances, drawn anew, each one
-# passes it on.
-TELL_S = 0.25
-FANOUT = 4
-# How often a crash is told again to those who count it.
-REPEATS = 2
-# How often hashes are compared, and with how many instances: one that was cut
-# off knows neither that it was nor what it lacks. At the start more is lacking.
-COMPARE_S = 1.0
-COMPARED = 1
-START_COMPARE_S = 0.5
-START_COMPARED = 3
-START_S = 3.0
-# Reports in one datagram, of some 100 bytes each, and datagrams in an answer.
+# Longest period between two rounds of gossip on changed records, and the number
+# of instances, drawn anew in each round, that receive them.
+GOSSIP_PERIOD_S = 0.25
+GOSSIP_FANOUT = 4
+# Number of times a crash is reported again to the instances that count it.
+REPORT_REPEATS = 2
+# Longest period between two comparisons of digests, and the number of instances
+# compared with. An instance that was cut off knows neither that it was nor
+# which reports it missed. For the first START_PHASE_S after a start an instance
+# compares more often and with more instances, since it misses more.
+DIGEST_PERIOD_S = 1.0
+DIGEST_FANOUT = 1
+START_DIGEST_PERIOD_S = 0.5
+START_DIGEST_FANOUT = 3
+START_PHASE_S = 3.0
+# Reports per datagram, each of some 100 bytes, and datagrams per reply.
 MAX_REPORTS = 10
 MAX_DATAGRAMS = 10
 
 
 def _ignore(table: quarantine.Quarantine) -> None:
-    """Keep nothing."""
+    """Do nothing on a change."""
 
 
 class CrashReports:
-    """Share a quarantine with all other instances.
+    """The quarantine of one instance, kept in step with all other instances.
 
-    A crash is told at once to the few instances that count those of its
-    request. From the second one on all are told, by gossip; comparing hashes
-    finds what was lost on its way, or is new to an instance that has started.
+    Entries and control instances have one each. A crash is reported at once to
+    the few instances that count the crashes of its request. From the second
+    crash on the report goes to all instances, by gossip. Comparisons of digests
+    find reports that were lost, or that an instance misses since it started.
 
     Args:
-        gossip_service: Carries the messages, and knows the other instances.
-        rng: Draws whom to tell.
-        on_change: Called after news of what all are to know.
-        known: What was known before the start.
+        gossip_service: Sends the messages and lists the other instances.
+        rng: Draws the instances that receive a message.
+        on_change: Called with the quarantine after a change of the records that
+            all instances share.
+        initial_reports: Reports from before the start.
+
+    Attributes:
+        table: The quarantine.
     """
 
     def __init__(
@@ -59,65 +66,84 @@
         gossip_service: gossip.Gossip,
         rng: random.Random,
         on_change: Callable[[quarantine.Quarantine], None] = _ignore,
-        known: Iterable[quarantine.Report] = (),
+        initial_reports: Iterable[quarantine.Report] = (),
     ) -> None:
         self.table = quarantine.Quarantine(gossip_service.myself.name)
         self._gossip = gossip_service
         self._rng = rng
         self._on_change = on_change
-        self._known = tuple(known)
-        self._parcels = gossip_service.subscribe(quarantine.QuarantineUpdate)
-        self._news: dict[bytes, None] = {}
-        # How often each request is to be reported again.
-        self._repeats: dict[bytes, int] = {}
+        self._initial_reports = tuple(initial_reports)
+        self._received_messages = gossip_service.subscribe(
+            quarantine.QuarantineUpdate
+        )
+        # Fingerprints of changed shared records, in order of their changes.
+        self._unsent: dict[bytes, None] = {}
+        # Remaining repeats of the report of each request, by fingerprint.
+        self._repeats_left: dict[bytes, int] = {}
 
     def may_be_quarantined(self, head: bytes) -> bool:
-        """Return whether a request with this head may be held back."""
+        """Return whether a request with this head may be quarantined.
+
+        Args:
+            head: The first part of its fingerprint.
+        """
         return self.table.has_head(head)
 
     def is_blocked(self, fingerprint: bytes, attempt: str) -> bool:
-        """Return whether an attempt must not be sent to any server now."""
+        """Return whether an attempt must not be sent to any server now.
+
+        Args:
+            fingerprint: The request.
+            attempt: Identifies the attempt.
+        """
         entries = self._gossip.directory.ready_entries()
-        names = [one.name for one in entries]
+        names = [entry.name for entry in entries]
         now = trio.current_time()
         return not self.table.may_run(fingerprint, attempt, names, now)
 
     def record_crash(self, server: messages.Server, fingerprint: bytes) -> None:
-        """Take in that a server crashed under a request of this entry."""
+        """Record that a server crashed under a request of this entry."""
         key = server_stats.incarnation_key(server.server_id, server.incarnation)
         now = trio.current_time()
         if self.table.record_crash(fingerprint, key, now):
-            self._note([fingerprint])
+            self._handle_changes([fingerprint])
             self._report(fingerprint)
 
     def record_answer(self, fingerprint: bytes) -> None:
-        """Take in that a request of this entry was answered."""
+        """Record that a server answered a request of this entry."""
         if self.table.record_answer(fingerprint, trio.current_time()):
-            self._note([fingerprint])
+            self._handle_changes([fingerprint])
             self._report(fingerprint)
 
     def _report(self, fingerprint: bytes) -> None:
-        self._repeats[fingerprint] = REPEATS
-        self._tell_holders(fingerprint)
+        self._repeats_left[fingerprint] = REPORT_REPEATS
+        self._send_to_counting(fingerprint)
 
-    def _tell_holders(self, fingerprint: bytes) -> None:
-        names = [one.name for one in self._gossip.live_instances()]
-        holders = affinity.rank_unweighted(fingerprint.hex(), names)
+    def _send_to_counting(self, fingerprint: bytes) -> None:
+        """Send the report to the instances that count the request's crashes."""
+        names = [instance.name for instance in self._gossip.live_instances()]
+        ranked = affinity.rank_unweighted(fingerprint.hex(), names)
         report = self.table.report(fingerprint, trio.current_time())
-        me = self._gossip.myself.name
+        own_name = self._gossip.myself.name
         others = [
-            one for one in holders[: quarantine.COUNTING_INSTANCES] if one != me
+            name
+            for name in ranked[: quarantine.COUNTING_INSTANCES]
+            if name != own_name
         ]
         self._gossip.post_all(others, quarantine.QuarantineUpdate((report,)))
 
-    def _note(self, fingerprints: Iterable[bytes]) -> None:
-        """Take up what changed, if it concerns all instances."""
-        shared = [one for one in fingerprints if self.table.is_shared(one)]
+    def _handle_changes(self, fingerprints: Iterable[bytes]) -> None:
+        """Log changed records that all instances share and gossip them."""
+        shared = [
+            fingerprint
+            for fingerprint in fingerprints
+            if self.table.is_shared(fingerprint)
+        ]
         if not shared:
             return
-        self._news.update(dict.fromkeys(shared))
-        for one in shared:
-            self._log(one)
+        self._unsent.update(dict.fromkeys(shared))
+        for fingerprint in shared:
+            self._log(fingerprint)
         self._on_change(self.table)
 
     def _log(self, fingerprint: bytes) -> None:
@@ -130,85 +156,94 @@
         )
 
     async def run(self) -> None:
-        """Tell and hear, for ever."""
-        self._note(self.table.merge(self._known, trio.current_time()))
+        """Send and receive reports until cancelled."""
+        self._handle_changes(
+            self.table.merge(self._initial_reports, trio.current_time())
+        )
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._hear)
-            nursery.start_soon(self._tell)
-            nursery.start_soon(self._compare)
-
-    def _draw(self, count: int) -> list[str]:
-        me = self._gossip.myself.name
-        names = [one.name for one in self._gossip.live_instances()]
-        others = [name for name in names if name != me]
+            nursery.start_soon(self._receive)
+            nursery.start_soon(self._send_changes)
+            nursery.start_soon(self._compare_digests)
+
+    def _draw_instances(self, count: int) -> list[str]:
+        own_name = self._gossip.myself.name
+        names = [instance.name for instance in self._gossip.live_instances()]
+        others = [name for name in names if name != own_name]
         return self._rng.sample(others, min(count, len(others)))
 
-    async def _tell(self) -> None:
+    async def _send_changes(self) -> None:
         while True:
-            await trio.sleep(TELL_S * self._rng.uniform(0.5, 1.0))
-            self._repeat()
-            if not self._news:
+            await trio.sleep(GOSSIP_PERIOD_S * self._rng.uniform(0.5, 1.0))
+            self._repeat_reports()
+            if not self._unsent:
                 continue
             now = trio.current_time()
-            news, self._news = list(self._news), {}
-            reports = [self.table.report(one, now) for one in news]
-            self._post(self._draw(FANOUT), reports)
-
-    def _repeat(self) -> None:
-        """Report crashes again: a datagram may be lost."""
-        for fingerprint in list(self._repeats):
-            self._repeats[fingerprint] -= 1
-            if not self._repeats[fingerprint]:
-                del self._repeats[fingerprint]
-            self._tell_holders(fingerprint)
-
-    def _post(
+            changed, self._unsent = list(self._unsent), {}
+            reports = [
+                self.table.report(fingerprint, now) for fingerprint in changed
+            ]
+            self._send_reports(self._draw_instances(GOSSIP_FANOUT), reports)
+
+    def _repeat_reports(self) -> None:
+        """Report crashes again, since a datagram may be lost."""
+        for fingerprint in list(self._repeats_left):
+            self._repeats_left[fingerprint] -= 1
+            if not self._repeats_left[fingerprint]:
+                del self._repeats_left[fingerprint]
+            self._send_to_counting(fingerprint)
+
+    def _send_reports(
         self,
         names: Sequence[str],
         reports: Sequence[quarantine.Report],
         digest: int = quarantine.NO_DIGEST,
     ) -> None:
-        """Send reports; the last datagram carries the digest."""
-        parts = [
-            tuple(reports[at : at + MAX_REPORTS])
-            for at in range(0, len(reports), MAX_REPORTS)
+        """Send reports; the last datagram contains the digest."""
+        batches = [
+            tuple(reports[start : start + MAX_REPORTS])
+            for start in range(0, len(reports), MAX_REPORTS)
         ]
-        if digest != quarantine.NO_DIGEST and not parts:
-            parts = [()]
-        for part in parts[:-1]:
-            self._gossip.post_all(names, quarantine.QuarantineUpdate(part))
-        for part in parts[-1:]:
+        if digest != quarantine.NO_DIGEST and not batches:
+            batches = [()]
+        for batch in batches[:-1]:
+            self._gossip.post_all(names, quarantine.QuarantineUpdate(batch))
+        for batch in batches[-1:]:
             self._gossip.post_all(
-                names, quarantine.QuarantineUpdate(part, digest)
+                names, quarantine.QuarantineUpdate(batch, digest)
             )
 
-    async def _compare(self) -> None:
+    async def _compare_digests(self) -> None:
+        """Drop expired records and send the digest, each period."""
         started = trio.current_time()
         while True:
             now = trio.current_time()
             if self.table.expire(now):
                 self._on_change(self.table)
-            is_start = now - started < START_S
-            count = START_COMPARED if is_start else COMPARED
-            asked = quarantine.QuarantineUpdate(
+            is_start = now - started < START_PHASE_S
+            count = START_DIGEST_FANOUT if is_start else DIGEST_FANOUT
+            update = quarantine.QuarantineUpdate(
                 (), self.table.digest, expects_reply=True
             )
-            self._gossip.post_all(self._draw(count), asked)
-            period_s = START_COMPARE_S if is_start else COMPARE_S
+            self._gossip.post_all(self._draw_instances(count), update)
+            period_s = START_DIGEST_PERIOD_S if is_start else DIGEST_PERIOD_S
             await trio.sleep(period_s * self._rng.uniform(0.5, 1.0))
 
-    async def _hear(self) -> None:
-        parcel: datagram_wire.ReceivedMessage
-        async for parcel in self._parcels:
-            told = parcel.message
-            assert isinstance(told, quarantine.QuarantineUpdate)
-            self._note(self.table.merge(told.reports, trio.current_time()))
-            if told.digest not in (quarantine.NO_DIGEST, self.table.digest):
-                self._answer(parcel.sender, told.expects_reply)
-
-    def _answer(self, name: str, asks: bool) -> None:
-        """Tell an instance that knows otherwise what is known here."""
+    async def _receive(self) -> None:
+        received: datagram_wire.ReceivedMessage
+        async for received in self._received_messages:
+            update = received.message
+            assert isinstance(update, quarantine.QuarantineUpdate)
+            self._handle_changes(
+                self.table.merge(update.reports, trio.current_time())
+            )
+            if update.digest not in (quarantine.NO_DIGEST, self.table.digest):
+                self._reply(received.sender, update.expects_reply)
+
+    def _reply(self, name: str, expects_digest: bool) -> None:
+        """Send the shared reports to an instance with another digest."""
         reports = self.table.shared(trio.current_time())
         self._rng.shuffle(reports)
-        digest = self.table.digest if asks else quarantine.NO_DIGEST
-        self._post([name], reports[: MAX_REPORTS * MAX_DATAGRAMS], digest)
+        digest = self.table.digest if expects_digest else quarantine.NO_DIGEST
+        self._send_reports(
+            [name], reports[: MAX_REPORTS * MAX_DATAGRAMS], digest
+        )
--- a/hyssopfold/transport/datagram_wire.py
+++ b/hyssopfold/transport/datagram_wire.py
@@ -1,4 +1,4 @@
-"""Datagrams between our processes, as they travel."""
+"""Encoding of the datagrams between instances."""
 
 from typing import Any
 from typing import NamedTuple
@@ -11,16 +11,18 @@
 from hyssopfold.core.membership import messages
 from hyssopfold.transport import auth
 
-# What fits into an Ethernet frame, less the seal.
+# Payload that fits into an Ethernet frame together with the seal.
 MAX_BYTES = 1400 - auth.OVERHEAD_BYTES
-# Largest datagram unpacked: a few bytes can unpack to gigabytes.
-MAX_UNPACKED_BYTES = 65_536
-# Words repeat each other's names and addresses; one alone gains nothing.
-_WORTH_PACKING = 2
-_PACK_LEVEL = 1
+# Largest decompressed datagram; a few bytes can decompress to gigabytes.
+MAX_DECOMPRESSED_BYTES = 65_536
+# Records repeat each other's names and addresses, so that compression pays from
+# two records on; a single record gains nothing.
+_MIN_COMPRESSED_RECORDS = 2
+_COMPRESSION_LEVEL = 1
+# First byte of a datagram: gossip, compressed gossip, or a number of _KINDS.
 _GOSSIP = 0
-_PACKED_GOSSIP = 32
-# Messages for one task of the receiver, beside gossip.
+_COMPRESSED_GOSSIP = 32
+# Messages other than gossip; each is handled by one task of the receiver.
 _KINDS = {
     1: placement.Claim,
     2: placement.Vote,
@@ -41,25 +43,33 @@
 
 
 class ReceivedMessage(NamedTuple):
-    """A message for one task, and the name of its sender."""
+    """A message for one task of this instance, with the sender's name."""
 
     sender: str
     message: Message
 
 
 def encode(datagram: messages.Datagram) -> list[bytes]:
-    """Return one or more datagrams, none above `MAX_BYTES`."""
-    items = len(datagram.instances) + len(datagram.servers)
+    """Encode gossip.
+
+    Returns:
+        One or more datagrams, split so that none exceeds `MAX_BYTES` unless it
+        contains a single record.
+    """
+    record_count = len(datagram.instances) + len(datagram.servers)
     data = msgspec.msgpack.encode(datagram)
-    if items >= _WORTH_PACKING:
-        data = bytes([_PACKED_GOSSIP]) + zlib.compress(data, _PACK_LEVEL)
+    if record_count >= _MIN_COMPRESSED_RECORDS:
+        data = bytes([_COMPRESSED_GOSSIP]) + zlib.compress(
+            data, _COMPRESSION_LEVEL
+        )
     else:
         data = bytes([_GOSSIP]) + data
-    if len(data) <= MAX_BYTES or items <= 1:
+    if len(data) <= MAX_BYTES or record_count <= 1:
         return [data]
     half_instances = len(datagram.instances) // 2
     half_servers = len(datagram.servers) // 2
-    # What is said once goes with the last, when the words have been taken in.
+    # Fields that are sent once are in the last datagram, so that the receiver
+    # has the records before it reads them.
     first = messages.Datagram(
         datagram.sender,
         datagram.revision,
@@ -76,22 +86,30 @@
 
 
 def encode_message(sender: str, message: Message) -> bytes:
-    """Return a message for one task as one datagram."""
+    """Return a message for one task of the receiver as one datagram.
+
+    Args:
+        sender: Name of this instance.
+        message: The message.
+    """
     number = _NUMBERS[type(message)]
     return bytes([number]) + msgspec.msgpack.encode((sender, message))
 
 
 def decode(data: bytes) -> messages.Datagram | ReceivedMessage:
-    """Return what is in `data`.
+    """Decode a datagram.
+
+    Returns:
+        Gossip, or a message for one task.
 
     Raises:
-        msgspec.DecodeError: on bytes that are no datagram of ours.
+        msgspec.DecodeError: if the bytes are not a datagram of this protocol.
     """
     if not data:
         raise msgspec.DecodeError("empty datagram")
     number, rest = data[0], data[1:]
-    if number == _PACKED_GOSSIP:
-        number, rest = _GOSSIP, _unpack(rest)
+    if number == _COMPRESSED_GOSSIP:
+        number, rest = _GOSSIP, _decompress(rest)
     if number == _GOSSIP:
         return msgspec.msgpack.decode(rest, type=messages.Datagram)
     kind: Any = _KINDS.get(number)
@@ -101,12 +119,12 @@
     return ReceivedMessage(sender, message)
 
 
-def _unpack(packed: bytes) -> bytes:
-    unpacker = zlib.decompressobj()
+def _decompress(compressed: bytes) -> bytes:
+    decompressor = zlib.decompressobj()
     try:
-        data = unpacker.decompress(packed, MAX_UNPACKED_BYTES)
+        data = decompressor.decompress(compressed, MAX_DECOMPRESSED_BYTES)
     except zlib.error as exc:
-        raise msgspec.DecodeError(f"packed datagram: {exc}") from exc
-    if not unpacker.eof:
-        raise msgspec.DecodeError("packed datagram: cut or too long")
+        raise msgspec.DecodeError(f"compressed datagram: {exc}") from exc
+    if not decompressor.eof:
+        raise msgspec.DecodeError("compressed datagram: truncated or too long")
     return data
--- a/tests/steps/security_steps.py
+++ b/tests/steps/security_steps.py
@@ -92,17 +92,17 @@
 
 @then("the keyring remembers no more proofs than its bound")
 def _(context):
-    auth.MAX_REMEMBERED, usual = 50, auth.MAX_REMEMBERED
+    auth.MAX_REMEMBERED_MACS, usual = 50, auth.MAX_REMEMBERED_MACS
     try:
         for _ in range(200):
             context.keyring.open(KIND, context.peer.seal(KIND, b"m"))
             context.clock.now += 0.001
-        assert len(context.keyring._seen) <= 50
+        assert len(context.keyring._seen_macs) <= 50
     finally:
-        auth.MAX_REMEMBERED = usual
+        auth.MAX_REMEMBERED_MACS = usual
     context.clock.now += 3 * auth.MAX_AGE_S
     context.keyring.open(KIND, context.peer.seal(KIND, b"m"))
-    assert len(context.keyring._seen) == 1
+    assert len(context.keyring._seen_macs) == 1
 
 
 @then("the keyring refuses random bytes with its own error")
