--- a/hyssopfold/transport/gossip.py
+++ b/hyssopfold/transport/gossip.py
@@ -1,4 +1,4 @@
-"""The task that owns the UDP socket and the directory of who is there."""
+"""Gossip over UDP: the task that owns the socket and the directory."""
 
 from collections.abc import Callable
 from collections.abc import Iterable
@@ -32,23 +32,35 @@
 _KIND = "Datagram"
 _QUEUE = 4096
 _MAX_ADDRESSES = 2000
-# What the bytes of messages are spent on, where that is not placement.
+# Purposes in the count of sent bytes, by type of message; all other messages
+# count as placement.
 _PURPOSES: dict[type, str] = {quarantine.QuarantineUpdate: "quarantine"}
 
 
 def _ignore(address: str, revision: int) -> None:
-    """Take no note of a sender's revision."""
+    """Ignore a sender's revision."""
 
 
 class Gossip:
-    """Spread announcements between our processes, and carry placement.
+    """The gossip of one instance with all others.
+
+    It keeps the directory of servers and instances up to date and transports
+    messages between the tasks of different instances, such as those of
+    placement. Control instances and entries run one each.
 
     Args:
         myself: This instance, without its changing fields.
-        seeds: UDP addresses of some other processes of ours.
-        lease_s: Seconds after which a silent member is taken for gone.
-        keyring: Seals what is sent and opens what comes.
-        rng: Source of the choice of peers.
+        seeds: UDP addresses of some other instances.
+        lease_s: Seconds without a heartbeat after which a member counts as
+            gone.
+        keyring: Seals sent datagrams and verifies received ones.
+        rng: Draws the peers.
+
+    Attributes:
+        on_revision: Called for each gossip datagram with the sender's RPC
+            address, empty if unknown, and the revision it has in force.
+        directory: The servers and instances that are members.
+        received_messages: Messages of the types without a subscription.
     """
 
     def __init__(
@@ -60,84 +72,98 @@
         rng: random.Random,
     ) -> None:
         self._keyring = keyring
-        # Told of each sender's revision: the address to ask, the revision.
         self.on_revision: Callable[[str, int], None] = _ignore
         self.directory = directory.Directory(lease_s)
-        self._spread = functools.partial(
+        self._new_protocol = functools.partial(
             spread.Spread, myself, seeds, self.directory, lease_s, rng
         )
-        self._started: spread.Spread | None = None
+        # Created on first use, since it needs the time of its start.
+        self._started_protocol: spread.Spread | None = None
         self._outbox_in, self._outbox = trio.open_memory_channel[
             tuple[str, bytes]
         ](_QUEUE)
-        # Messages that came, for the tasks that handle them: by their kind
-        # for those that subscribed, and all others.
+        # Received messages for the tasks that handle them: by type for the
+        # tasks that subscribed to one, and all others.
         self._inboxes: dict[
             type, trio.MemorySendChannel[datagram_wire.ReceivedMessage]
         ] = {}
         self._received_messages_in, self.received_messages = (
             trio.open_memory_channel[datagram_wire.ReceivedMessage](_QUEUE)
         )
-        # Kept beyond a lease: one that is silent may still be reached.
+        # Gossip addresses by instance. They are kept beyond the end of a lease,
+        # since a silent instance may still be reachable.
         self._addresses: dict[str, str] = {}
-        self._news = trio.Event()
+        self._has_news = trio.Event()
         self._traffic_counter = traffic_counter.TrafficCounter(
             myself, self.directory
         )
 
     @property
-    def _core(self) -> spread.Spread:
-        if self._started is None:
-            self._started = self._spread(trio.current_time())
-        return self._started
+    def _protocol(self) -> spread.Spread:
+        if self._started_protocol is None:
+            self._started_protocol = self._new_protocol(trio.current_time())
+        return self._started_protocol
 
     def subscribe(
         self, kind: type
     ) -> trio.MemoryReceiveChannel[datagram_wire.ReceivedMessage]:
-        """Return a channel on which messages of one kind come from now on."""
-        inbox, parcels = trio.open_memory_channel[
+        """Return a channel that receives messages of one type from now on.
+
+        Args:
+            kind: The type of the messages.
+        """
+        inbox, received_messages = trio.open_memory_channel[
             datagram_wire.ReceivedMessage
         ](_QUEUE)
         self._inboxes[kind] = inbox
-        return parcels
+        return received_messages
 
     def announce(self, server: messages.Server) -> None:
-        """Take in what a backend server says of itself, to be spread."""
-        self._carry(self._core.announce(server, trio.current_time()))
+        """Record a backend server's announcement and spread it."""
+        self._execute(self._protocol.announce(server, trio.current_time()))
 
     def dismiss(self, server_id: str) -> None:
-        """Take out a server that leaves without a word of its own."""
-        self._carry(self._core.dismiss(server_id, trio.current_time()))
+        """Announce that a server is leaving, on its behalf."""
+        self._execute(self._protocol.dismiss(server_id, trio.current_time()))
 
     def set_seeds(self, seeds: tuple[str, ...]) -> None:
-        """Look for others at these addresses from now on."""
-        self._core.set_seeds(seeds)
+        """Replace the UDP addresses used to find other instances."""
+        self._protocol.set_seeds(seeds)
 
     def update_self(self, **changes: Any) -> None:
-        """Change what this instance says of itself from now on."""
-        self._carry(self._core.update_self(trio.current_time(), **changes))
+        """Change fields of this instance's announcement.
+
+        Args:
+            **changes: New values of fields of `messages.Instance`.
+        """
+        self._execute(
+            self._protocol.update_self(trio.current_time(), **changes)
+        )
 
     @property
     def myself(self) -> messages.Instance:
-        """Return this instance's own word."""
-        return self._core.myself
+        """Return this instance's own announcement."""
+        return self._protocol.myself
 
     @property
     def highest_revision(self) -> int:
-        """Return the highest revision that any sender has in force."""
-        return self._core.highest_revision
+        """Return the highest revision that any sender reported in force."""
+        return self._protocol.highest_revision
 
     def live_instances(self) -> list[messages.Instance]:
-        """Return the instances without those that may be dead.
+        """Return the instances except those suspected to be dead.
 
-        All of them when all others may be: then this one is cut off.
+        If all others are suspected, this instance is cut off itself and all
+        instances are returned.
         """
         now = trio.current_time()
-        known = list(self.directory.instances.words())
+        instances = list(self.directory.instances.words())
         live = [
-            one for one in known if not self._core.is_suspect(one.name, now)
+            instance
+            for instance in instances
+            if not self._protocol.is_suspect(instance.name, now)
         ]
-        return live if len(live) > 1 else known
+        return live if len(live) > 1 else instances
 
     @property
     def sent_bytes(self) -> Mapping[tuple[str, str], int]:
@@ -146,24 +172,34 @@
 
     @property
     def ready(self) -> bool:
-        """Return whether it is known who is there."""
-        return self._core.ready(trio.current_time())
+        """Return whether the directory is complete, or no peer was found."""
+        return self._protocol.ready(trio.current_time())
 
     def post(self, name: str, message: datagram_wire.Message) -> None:
-        """Send a message to a task of an instance; it may be lost."""
+        """Send a message to a task of an instance, without acknowledgement.
+
+        Args:
+            name: The instance.
+            message: The message, which may be lost.
+        """
         self.post_all((name,), message)
 
     def post_all(
         self, names: Iterable[str], message: datagram_wire.Message
     ) -> None:
-        """Send a message to a task of each instance; it may be lost."""
-        sender = self._core.myself.name
+        """Send a message to a task of each instance, without acknowledgement.
+
+        Args:
+            names: The instances; those without a known address are skipped.
+            message: The message, which may be lost.
+        """
+        sender = self._protocol.myself.name
         data = datagram_wire.encode_message(sender, message)
         purpose = _PURPOSES.get(type(message), "placement")
         for name in names:
-            held = self.directory.instances.get(name)
-            if held is not None and len(self._addresses) < _MAX_ADDRESSES:
-                self._addresses[name] = held.gossip_address
+            record = self.directory.instances.get(name)
+            if record is not None and len(self._addresses) < _MAX_ADDRESSES:
+                self._addresses[name] = record.gossip_address
             address = self._addresses.get(name)
             if address is not None:
                 self._traffic_counter.count(address, purpose, data)
@@ -173,10 +209,10 @@
         try:
             self._outbox_in.send_nowait((address, data))
         except trio.WouldBlock:
-            # Lost like on the wire; whoever waits for it asks again.
+            # As if lost by the network; a receiver that needs it asks again.
             logger.warning(logs.Event("datagram-dropped", to=address))
 
-    def _carry(self, effects: Iterable[effects_module.Effect]) -> None:
+    def _execute(self, effects: Iterable[effects_module.Effect]) -> None:
         datagram: messages.Datagram | None = None
         encoded: list[bytes] = []
         for effect in effects:
@@ -191,16 +227,16 @@
                     self._queue(effect.address, data)
             else:
                 logger.info(logs.Event("member-changed", **effect._asdict()))
-        if self._core.has_news:
-            self._news.set()
+        if self._protocol.has_news:
+            self._has_news.set()
 
     async def run(self) -> None:
-        """Own the socket; send each period and take in what comes.
+        """Send and receive datagrams until cancelled.
 
         Raises:
-            PortBusyError: when another process holds the address.
+            PortBusyError: if another process uses the address.
         """
-        address = self._core.myself.gossip_address
+        address = self._protocol.myself.gossip_address
         host, _, port = address.rpartition(":")
         sock = trio.socket.socket(type=trio.socket.SOCK_DGRAM)
         with sock:
@@ -221,7 +257,8 @@
             try:
                 data, sender = await sock.recvfrom(_RECEIVE_BYTES)
             except ConnectionError:
-                # The kernel reports that an earlier datagram found no one.
+                # The kernel reports that no socket received an earlier
+                # datagram.
                 continue
             try:
                 opened = self._keyring.open(_KIND, data)
@@ -236,14 +273,15 @@
     def _handle(
         self, datagram: messages.Datagram | datagram_wire.ReceivedMessage
     ) -> None:
-        """Take a datagram in; one that fails is left out.
+        """Process a datagram; log an exception and drop the datagram.
 
-        It goes to other instances too, and comes again after a restart: ending
-        this task by it would end all of them.
+        Other instances receive the same datagram, and it arrives again after a
+        restart: if the exception ended this task, it would end the task of
+        every instance.
         """
         try:
             if isinstance(datagram, messages.Datagram):
-                self._take_in(datagram)
+                self._receive_gossip(datagram)
             else:
                 self._deliver(datagram)
         except errors.InvariantError:
@@ -253,33 +291,33 @@
                 logs.Event("datagram-failed", sender=datagram.sender)
             )
 
-    def _deliver(self, parcel: datagram_wire.ReceivedMessage) -> None:
+    def _deliver(self, received: datagram_wire.ReceivedMessage) -> None:
         inbox = self._inboxes.get(
-            type(parcel.message), self._received_messages_in
+            type(received.message), self._received_messages_in
         )
         try:
-            inbox.send_nowait(parcel)
+            inbox.send_nowait(received)
         except trio.WouldBlock:
-            logger.warning(logs.Event("parcel-dropped", sender=parcel.sender))
+            logger.warning(logs.Event("parcel-dropped", sender=received.sender))
 
-    def _take_in(self, datagram: messages.Datagram) -> None:
-        self._carry(self._core.receive(datagram, trio.current_time()))
+    def _receive_gossip(self, datagram: messages.Datagram) -> None:
+        self._execute(self._protocol.receive(datagram, trio.current_time()))
         sender = self.directory.instances.get(datagram.sender)
         address = sender.rpc_address if sender is not None else ""
         self.on_revision(address, datagram.revision)
 
     async def _tick(self) -> None:
         while True:
-            self._carry(self._core.tick(trio.current_time()))
+            self._execute(self._protocol.tick(trio.current_time()))
             await trio.sleep(PERIOD_S)
 
     async def _flush(self) -> None:
-        """Send news in batches."""
+        """Send new records in batches."""
         while True:
-            await self._news.wait()
+            await self._has_news.wait()
             await trio.sleep(broadcasts.BATCH_S)
-            self._news = trio.Event()
-            self._carry(self._core.flush(trio.current_time()))
+            self._has_news = trio.Event()
+            self._execute(self._protocol.flush(trio.current_time()))
 
     async def _send(self, sock: trio.socket.SocketType) -> None:
         async for address, data in self._outbox:
@@ -288,5 +326,6 @@
             try:
                 await sock.sendto(sealed, (host, int(port)))
             except (OSError, ValueError, OverflowError) as exc:
-                # The last two: what an instance tells as its address is none.
+                # ValueError and OverflowError: an instance announced an invalid
+                # address.
                 logger.debug(logs.Event("gossip-failed", to=address, error=exc))
--- a/hyssopfold/transport/poll_wire.py
+++ b/hyssopfold/transport/poll_wire.py
@@ -1,6 +1,6 @@
-"""Messages that bring revisions to other instances, as they travel.
+"""RPC method by which an instance polls another for new revisions.
 
-New fields go to the end and have defaults, see `codec`.
+New fields are appended and have defaults, see `codec`.
 """
 
 from typing import NamedTuple
@@ -10,10 +10,14 @@
 
 
 class Poll(NamedTuple):
-    """Ask for a revision above `have`; wait for one up to `wait_s`.
-
-    `digest` is that of the value held at `have`. `strong` asks that a
-    majority confirms the revision first.
+    """Request: a revision above `have`.
+
+    Attributes:
+        instance: Name of the caller.
+        have: Revision that the caller has.
+        wait_s: Longest wait for a newer revision, in seconds.
+        digest: Digest of the value that the caller has at `have`.
+        strong: Whether a majority shall confirm the revision first.
     """
 
     instance: str
@@ -24,7 +28,14 @@
 
 
 class PollAnswer(NamedTuple):
-    """The newest revision known; fields as in `messages.Answered`."""
+    """Response: the newest revision of the callee.
+
+    Attributes:
+        update: The revision, with a difference from the caller's or the value.
+        strong: Whether a majority confirmed the revision after the request.
+        age_s: Seconds since the last confirmation by a majority.
+        waited_s: Seconds from the request to the response.
+    """
 
     update: messages.Update
     strong: bool = False
--- a/hyssopfold/transport/publisher.py
+++ b/hyssopfold/transport/publisher.py
@@ -1,4 +1,4 @@
-"""Answers other instances that ask for newer revisions."""
+"""Serves polls of other instances for newer revisions."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -15,81 +15,95 @@
 logger = logging.getLogger(__name__)
 
 CONFIRM_PERIOD_S = 1.0
-CONFIRM_WAIT_S = 0.8
-MAX_HELD_QUESTIONS = 2048
+CONFIRM_TIMEOUT_S = 0.8
+MAX_WAITING_POLLS = 2048
 MAX_WAIT_S = 60.0
 
 Confirm = Callable[[], Awaitable[bool]]
 
 
 class Publisher:
-    """Keep recent revisions; answer or hold the questions for newer ones.
+    """Recent revisions, and the polls that wait for a newer one.
+
+    Control instances and entries serve polls with it.
 
     Args:
-        recent: Where the revisions are kept.
-        age_s: Returns the seconds since a majority confirmed the revision.
-        confirm: Returns whether a majority confirms, now, that what was
-            published is the newest; None where no instance can be asked.
+        revisions: Stores the revisions.
+        age_s: Returns the seconds since a majority last confirmed the revision,
+            given the monotonic time in seconds.
+        confirm: Returns whether a majority confirms now that the published
+            revision is the newest; None if this instance can't ask a majority.
     """
 
     def __init__(
         self,
-        recent: history.History,
+        revisions: history.History,
         age_s: Callable[[float], float],
         confirm: Confirm | None = None,
     ) -> None:
-        self.recent = recent
+        self.revisions = revisions
         self._age_s = age_s
         self._confirm = confirm
-        self._news = trio.Event()
+        self._published = trio.Event()
         self._waiting = 0
 
     def publish(self, revision: int, value: bytes) -> None:
-        """Take a newer revision in and answer all who wait for one."""
-        if self.recent.add(revision, value):
-            news, self._news = self._news, trio.Event()
-            news.set()
+        """Store a revision; if it is newer, answer all waiting polls.
+
+        Args:
+            revision: Number of the revision.
+            value: The encoded state.
+        """
+        if self.revisions.add(revision, value):
+            published, self._published = self._published, trio.Event()
+            published.set()
 
     async def poll(self, req: poll_wire.Poll) -> poll_wire.PollAnswer:
-        """Answer once a revision above `req.have` is known, or at time-out."""
+        """Return a revision above `req.have`, or the newest after a timeout.
+
+        Args:
+            req: The request; its `wait_s` is limited to `MAX_WAIT_S`.
+        """
         began = trio.current_time()
         strong = False
         if req.strong and self._confirm is not None:
-            # Without a majority the read ends long after the asker gave up;
-            # a weak answer in time lets it start from a majority's words.
-            with trio.move_on_after(CONFIRM_WAIT_S):
+            # Without a majority the read ends long after the caller's timeout.
+            # An unconfirmed answer in time allows the caller to start from the
+            # answers of a majority.
+            with trio.move_on_after(CONFIRM_TIMEOUT_S):
                 strong = await self._confirm()
-        if self._waiting < MAX_HELD_QUESTIONS:
-            await self._hold(req)
+        if self._waiting < MAX_WAITING_POLLS:
+            await self._wait_for_newer(req)
         else:
             logger.warning(logs.Event("poll-not-held", asker=req.instance))
         now = trio.current_time()
         return poll_wire.PollAnswer(
-            self.recent.update(req.have, req.digest),
+            self.revisions.update(req.have, req.digest),
             strong,
             min(self._age_s(now), messages.NEVER_S),
             now - began,
         )
 
-    async def _hold(self, req: poll_wire.Poll) -> None:
-        # A NaN or an endless wait from a faulty peer must not hold a
-        # question for ever.
+    async def _wait_for_newer(self, req: poll_wire.Poll) -> None:
+        # A faulty peer may send NaN or infinity, which must not keep a poll
+        # waiting forever.
         wait_s = req.wait_s if math.isfinite(req.wait_s) else 0.0
         self._waiting += 1
         try:
             with trio.move_on_after(min(max(0.0, wait_s), MAX_WAIT_S)):
-                while self.recent.revision <= req.have:
-                    await self._news.wait()
+                while self.revisions.revision <= req.have:
+                    await self._published.wait()
         finally:
             self._waiting -= 1
 
 
 class Confirmations:
-    """Know when a majority last confirmed this control instance's revision.
+    """Time at which a majority last confirmed a control instance's revision.
 
     Args:
-        read: Reads the register as strongly as an edit; returns whether a
-            majority answered. What it read is published before it returns.
+        read: Reads the register with the consistency of an edit and returns
+            whether a majority answered. The revision that it read is published
+            before it returns.
     """
 
     def __init__(self, read: Confirm) -> None:
@@ -97,11 +111,15 @@
         self._confirmed_at = -math.inf
 
     def age_s(self, now: float) -> float:
-        """Return the seconds since the start of the last read that held."""
+        """Return the seconds since the start of the last successful read.
+
+        Args:
+            now: Monotonic time in seconds.
+        """
         return now - self._confirmed_at
 
     async def confirm(self) -> bool:
-        """Return whether a majority confirms the revision, now."""
+        """Return whether a majority confirms the revision now."""
         began = trio.current_time()
         if not await self._read():
             return False
@@ -109,7 +127,7 @@
         return True
 
     async def run(self) -> None:
-        """Confirm each period, and learn what this instance missed."""
+        """Confirm each period; the read also fetches missed revisions."""
         while True:
             await self.confirm()
             await trio.sleep(CONFIRM_PERIOD_S)
--- a/hyssopfold/transport/rpc.py
+++ b/hyssopfold/transport/rpc.py
@@ -1,4 +1,4 @@
-"""Unary gRPC calls between our processes, with a deadline on every call."""
+"""Unary gRPC calls between instances, each with a deadline."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Awaitable
@@ -39,12 +39,18 @@
 _SERVER_HEARTBEAT_S = 30.0
 
 
-def _heartbeats(period_s: float, always: bool) -> grpclib.config.Configuration:
-    """Return a configuration with HTTP/2 pings.
+def _heartbeat_config(
+    period_s: float, always: bool
+) -> grpclib.config.Configuration:
+    """Return a gRPC configuration with HTTP/2 pings.
 
-    A connection that something between the ends has forgotten stays open for
-    good: nothing tells either end. Pings find it within twice `period_s`;
-    unless `always`, only while calls are under way.
+    If a firewall between both ends drops the state of a connection, neither end
+    notices and the connection stays open forever. Pings detect this within
+    twice `period_s`.
+
+    Args:
+        period_s: Seconds between two pings, and the timeout of each.
+        always: Whether to send pings also while no call is pending.
     """
     return grpclib.config.Configuration(
         _keepalive_time=period_s,
@@ -56,7 +62,7 @@
 
 
 class MessageTooLargeError(Exception):
-    """A peer announced a message above the limit."""
+    """A peer announced a message longer than the limit."""
 
 
 _CALL_ERRORS = (
@@ -70,7 +76,7 @@
 
 
 class Method(NamedTuple):
-    """One call: its name and the types of its request and answer."""
+    """An RPC method: its name and the types of its request and answer."""
 
     name: str
     request: type[Any]
@@ -86,7 +92,7 @@
 
 
 class _Service:
-    """Serve a table of methods to grpclib."""
+    """The handlers of methods, in the form that grpclib serves."""
 
     def __init__(self, handlers: dict[Method, Handler]) -> None:
         self._handlers = handlers
@@ -104,13 +110,13 @@
 
     def _wrap(self, method: Method, handler: Handler) -> Any:
         async def call(stream: Any) -> None:
-            _limit(stream)
+            _limit_message_size(stream)
             try:
                 req = await stream.recv_message()
             except (msgspec.DecodeError, MessageTooLargeError) as exc:
-                _refuse(stream, method, exc)
+                _reject(stream, method, exc)
                 raise grpclib.exceptions.GRPCError(
-                    grpclib.const.Status.INVALID_ARGUMENT, "not a message"
+                    grpclib.const.Status.INVALID_ARGUMENT, "invalid message"
                 ) from exc
             answer = await trio_asyncio.trio_as_aio(handler)(req)
             await stream.send_message(answer)
@@ -118,12 +124,12 @@
         return call
 
 
-def _limit(stream: Any) -> None:
-    """Refuse to read a message above the limit.
+def _limit_message_size(stream: Any) -> None:
+    """Make a stream raise `MessageTooLargeError` for a message above the limit.
 
     A peer can announce a message of 4 GiB in its first five bytes; grpclib
-    would gather all of it in memory before it looks at any. grpclib has no
-    setting for this, hence the reach into its stream.
+    would read all of it into memory before it decodes it. grpclib has no
+    setting for a limit, so this replaces a method of its private stream.
     """
     inner = stream._stream
     receive = inner.recv_data
@@ -137,25 +143,25 @@
     inner.recv_data = receive_bounded
 
 
-def _refuse(stream: Any, method: Method, exc: Exception) -> None:
-    """Log a message that could not be taken; drop a peer that sends rubbish.
+def _reject(stream: Any, method: Method, exc: Exception) -> None:
+    """Log an invalid message; close the connection unless it is well-formed.
 
-    The message never reaches a decision. A well-formed message that does not
-    fit its type comes from a program of another version, whose other
-    messages may fit: it keeps its connection.
+    The message never reaches a handler. A well-formed message of another type
+    comes from a program of another version, whose other messages may be valid:
+    its connection stays open.
     """
     peer = stream.peer.addr()
-    other_version = isinstance(exc, msgspec.ValidationError)
+    is_well_formed = isinstance(exc, msgspec.ValidationError)
     logger.warning(
         logs.Event(
             "bad-message",
             method=method.name,
             peer=peer,
             error=exc,
-            dropped=not other_version,
+            dropped=not is_well_formed,
         )
     )
-    if not other_version:
+    if not is_well_formed:
         stream._stream.connection.close()
 
 
@@ -165,19 +171,24 @@
     cfg: "ConnectionConfig",
     task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED,
 ) -> None:
-    """Serve `handlers` on `address` until cancelled.
+    """Serve methods until cancelled; must run inside `open_loop`.
 
-    Must run inside a trio-asyncio loop.
+    Args:
+        address: IP address and port to listen on.
+        handlers: The methods, each with the function that answers it.
+        cfg: Configuration of this process's connections.
+        task_status: Reports the start to `nursery.start`.
 
     Raises:
-        PortBusyError: when another process holds the address.
+        PortBusyError: if another process uses the address.
     """
     host, _, port = address.rpartition(":")
     server = grpclib.server.Server(
         [_Service(handlers)],
         codec=codec.MsgpackCodec(cfg.keyring),
-        # The serving end frees what a peer left behind, without haste.
-        config=_heartbeats(_SERVER_HEARTBEAT_S, True),
+        # Frees connections that a peer abandoned; this is not urgent, hence the
+        # longer period.
+        config=_heartbeat_config(_SERVER_HEARTBEAT_S, True),
     )
     start = functools.partial(server.start, ssl=cfg.server_tls)
     try:
@@ -195,12 +206,12 @@
 
 @contextlib.asynccontextmanager
 async def open_loop() -> AsyncIterator[None]:
-    """Run an asyncio loop for grpclib, in which a stray error ends nothing.
+    """Run an asyncio loop for grpclib that logs errors of callbacks.
 
     grpclib runs callbacks for each connection in this loop. By default
-    trio-asyncio takes the whole process down when one of them fails, or when
-    a channel is collected unclosed: what one peer did to its connection would
-    end every caller's request.
+    trio-asyncio ends the whole process when one of them fails, or when a
+    channel is garbage-collected unclosed. A fault on the connection to one peer
+    would then end the requests of all callers.
     """
     async with trio_asyncio.open_loop() as loop:
         loop.set_exception_handler(_log_stray_error)
@@ -219,7 +230,15 @@
 
 
 class ConnectionConfig(NamedTuple):
-    """What all connections of a process have in common."""
+    """Configuration of all gRPC connections of a process.
+
+    Attributes:
+        keyring: Seals and verifies messages.
+        rng: Draws the jitter of the back-off.
+        heartbeat_s: Seconds between two pings of a client during calls.
+        server_tls: TLS of the served address; None for plain connections.
+        client_tls: TLS of connections to peers; None for plain connections.
+    """
 
     keyring: auth.Keyring
     rng: random.Random
@@ -229,97 +248,109 @@
 
 
 class _Connection:
-    """One channel, and what is known of its life."""
+    """One channel, its pending calls and the time of its last message."""
 
     def __init__(self, address: str, cfg: ConnectionConfig) -> None:
         host, _, port = address.rpartition(":")
-        self.heard_at = -math.inf
-        self.calls = 0
+        self.last_received_at = -math.inf
+        self.pending_calls = 0
         self.retired = False
         self.channel = grpclib.client.Channel(
             host,
             int(port),
-            codec=codec.MsgpackCodec(cfg.keyring, self._hear),
-            config=_heartbeats(cfg.heartbeat_s, False),
+            codec=codec.MsgpackCodec(cfg.keyring, self._record_received),
+            config=_heartbeat_config(cfg.heartbeat_s, False),
             ssl=cfg.client_tls,
         )
 
-    def _hear(self) -> None:
-        self.heard_at = trio.current_time()
+    def _record_received(self) -> None:
+        self.last_received_at = trio.current_time()
 
     def retire(self) -> None:
-        """Take no further calls; close after the last one under way."""
+        """Close the connection after its last pending call."""
         self.retired = True
         self.close_if_unused()
 
     def close_if_unused(self) -> None:
-        """Close a retired connection that no call uses."""
-        if self.retired and self.calls == 0:
+        """Close the connection if it is retired and has no pending call."""
+        if self.retired and self.pending_calls == 0:
             self.channel.close()
 
 
 class Client:
-    """Calls to one peer over one kept connection.
+    """A client of one peer, which makes its calls over one connection.
 
     Args:
-        address: IP number and port of the peer.
-        cfg: What all connections of this process have in common.
+        address: IP address and port of the peer.
+        cfg: Configuration of this process's connections.
     """
 
     def __init__(self, address: str, cfg: ConnectionConfig) -> None:
         self.address = address
         self._cfg = cfg
         self._connection: _Connection | None = None
-        self._calls = 0
-        self._refusals = 0
+        self._pending_calls = 0
+        self._connect_failures = 0
         self._retry_at = -math.inf
 
     async def call(self, method: Method, req: Any, timeout_s: float) -> Any:
         """Return the peer's answer.
 
+        Args:
+            method: The method to call.
+            req: The request, of the type of the method.
+            timeout_s: Deadline of the call, in seconds.
+
         Raises:
-            PeerUnavailableError: when no answer came within `timeout_s`, or
-                at once when too many calls wait, or the peer was just found
-                to refuse connections.
+            PeerUnavailableError: if no answer arrived within `timeout_s`; at
+                once if `MAX_CALLS` calls are pending, or during the back-off
+                after a failed connection.
         """
         began = trio.current_time()
-        if self._calls >= MAX_CALLS:
+        if self._pending_calls >= MAX_CALLS:
             raise errors.PeerUnavailableError(self.address, "too many calls")
         if began < self._retry_at:
             raise errors.PeerUnavailableError(self.address, "connect back-off")
         conn = self._open()
-        conn.calls += 1
-        self._calls += 1
+        conn.pending_calls += 1
+        self._pending_calls += 1
         try:
-            answer = await _exchange(conn.channel, method, req, timeout_s)
-            self._refusals = 0
+            answer = await _call(conn.channel, method, req, timeout_s)
+            self._connect_failures = 0
             return answer
         except _CALL_ERRORS as exc:
-            self._judge(conn, began, exc)
+            self._handle_failure(conn, began, exc)
             detail = str(exc) or type(exc).__name__
             raise errors.PeerUnavailableError(self.address, detail) from exc
         finally:
-            self._calls -= 1
-            conn.calls -= 1
+            self._pending_calls -= 1
+            conn.pending_calls -= 1
             conn.close_if_unused()
 
-    def _judge(self, conn: _Connection, began: float, exc: Exception) -> None:
-        """Decide whether a failed call speaks against its connection.
-
-        Something between the ends may have forgotten the connection: it
-        swallows all that is sent, and a call ends by its time-out. When the
-        connection brought any answer since the call began it is alive, and
-        only this call was slow. Else the next call opens a new one; calls
-        under way on the old one may still be answered and are left alone.
+    def _handle_failure(
+        self, conn: _Connection, began: float, exc: Exception
+    ) -> None:
+        """Replace the connection of a failed call if it may be dead.
+
+        If a firewall between both ends drops the state of a connection, all
+        packets are lost and calls end by their timeout. A connection that
+        received any answer since the call began works, and only this call was
+        slow. Otherwise the next call opens a new connection; pending calls
+        on the old one may still be answered and are not cancelled.
+
+        Args:
+            conn: The connection of the call.
+            began: Start of the call, in monotonic seconds.
+            exc: The error of the call.
         """
         if isinstance(exc, grpclib.exceptions.GRPCError):
-            # The peer answered, if only to refuse.
+            # The peer answered with an error, so the connection works.
             return
-        if isinstance(exc, TimeoutError) and conn.heard_at > began:
+        if isinstance(exc, TimeoutError) and conn.last_received_at > began:
             return
         if isinstance(exc, OSError) and not isinstance(exc, TimeoutError):
-            backoff_s = FIRST_BACKOFF_S * 2 ** min(self._refusals, 10)
-            self._refusals += 1
+            backoff_s = FIRST_BACKOFF_S * 2 ** min(self._connect_failures, 10)
+            self._connect_failures += 1
             jitter = self._cfg.rng.uniform(0.5, 1.0)
             now = trio.current_time()
             self._retry_at = now + min(backoff_s, MAX_BACKOFF_S) * jitter
@@ -337,18 +368,18 @@
         return self._connection
 
     def close(self) -> None:
-        """Close the connection after the calls under way."""
+        """Close the connection after the pending calls."""
         if self._connection is not None:
             self._connection.retire()
             self._connection = None
 
 
 class Clients:
-    """Clients to peers whose addresses are learned while running.
+    """Clients to peers whose addresses are found while running.
 
     Args:
-        cfg: What all connections of this process have in common.
-        max_clients: Most connections kept; the longest unused one is closed.
+        cfg: Configuration of this process's connections.
+        max_clients: Limit of connections; the least recently used is closed.
     """
 
     def __init__(self, cfg: ConnectionConfig, max_clients: int = 16) -> None:
@@ -363,12 +394,12 @@
             client = Client(address, self._cfg)
         self._clients[address] = client
         if len(self._clients) > self._max_clients:
-            oldest = next(iter(self._clients))
-            self._clients.pop(oldest).close()
+            least_recent = next(iter(self._clients))
+            self._clients.pop(least_recent).close()
         return client
 
 
-async def _exchange(
+async def _call(
     channel: grpclib.client.Channel,
     method: Method,
     req: Any,
@@ -381,7 +412,7 @@
     async def call() -> Any:
         async with stub.open(timeout=timeout_s) as stream:
             await stream.send_message(req, end=True)
-            _limit(stream)
+            _limit_message_size(stream)
             answer = await stream.recv_message()
         if answer is None:
             raise grpclib.exceptions.StreamTerminatedError("no answer")
--- a/hyssopfold/transport/traffic_counter.py
+++ b/hyssopfold/transport/traffic_counter.py
@@ -1,4 +1,4 @@
-"""Bytes sent to other instances, by what they are for and how far they go."""
+"""Counter of the bytes sent to other instances, by purpose and distance."""
 
 import collections
 from typing import Literal
@@ -6,49 +6,58 @@
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import messages
 
-# Headers of UDP and IP.
+# Headers of UDP and IP of one datagram.
 _HEADER_BYTES = 28
 
 Distance = Literal["failure-domain", "region", "far", "unknown"]
 
 
 class TrafficCounter:
-    """Count the datagrams of one process.
+    """Counts the bytes of datagrams that one process sends, for its metrics.
 
     Args:
         myself: This instance.
-        known: Directory of the instances.
+        instance_directory: Directory of the instances.
+
+    Attributes:
+        sent_bytes: Bytes with headers, by purpose and distance.
     """
 
     def __init__(
-        self, myself: messages.Instance, known: directory.Directory
+        self, myself: messages.Instance, instance_directory: directory.Directory
     ) -> None:
         self._myself = myself
-        self._known = known
-        self._as_of = -1
+        self._directory = instance_directory
+        # Count of changes of the directory that _distances was computed at.
+        self._distances_version = -1
         self._distances: dict[str, Distance] = {}
-        # By purpose and distance.
         self.sent_bytes: collections.Counter[tuple[str, str]] = (
             collections.Counter()
         )
 
     def count(self, address: str, purpose: str, data: bytes) -> None:
-        """Take note of a datagram that is sent."""
+        """Count a datagram that is sent.
+
+        Args:
+            address: Gossip address of the receiver.
+            purpose: What the datagram is sent for.
+            data: The datagram without its seal and headers.
+        """
         key = (purpose, self._distance(address))
         self.sent_bytes[key] += len(data) + _HEADER_BYTES
 
     def _distance(self, address: str) -> Distance:
-        if self._as_of != self._known.instances.changes:
-            self._as_of = self._known.instances.changes
+        if self._distances_version != self._directory.instances.changes:
+            self._distances_version = self._directory.instances.changes
             self._distances = {
-                one.gossip_address: self._distance_of(one)
-                for one in self._known.instances.words()
+                instance.gossip_address: self._distance_of(instance)
+                for instance in self._directory.instances.words()
             }
         return self._distances.get(address, "unknown")
 
-    def _distance_of(self, one: messages.Instance) -> Distance:
-        if one.region != self._myself.region:
+    def _distance_of(self, instance: messages.Instance) -> Distance:
+        if instance.region != self._myself.region:
             return "far"
-        if one.failure_domain != self._myself.failure_domain:
+        if instance.failure_domain != self._myself.failure_domain:
             return "region"
         return "failure-domain"
--- a/tests/steps/transport/gossip_steps.py
+++ b/tests/steps/transport/gossip_steps.py
@@ -112,11 +112,11 @@
 
 
 def _fail_once(one):
-    take_in = one._core.receive
+    take_in = one._protocol.receive
 
     def receive(datagram, now):
         if datagram.sender == "e9":
             raise LookupError("a field that no one expected")
         return take_in(datagram, now)
 
-    one._core.receive = receive
+    one._protocol.receive = receive
