--- a/hyssopfold/control/__init__.py
+++ b/hyssopfold/control/__init__.py
@@ -1,1 +1,1 @@
-"""The durable state, the operators' API and its distribution."""
+"""The control instance: the durable state, its distribution and its API."""
--- a/hyssopfold/control/adapters.py
+++ b/hyssopfold/control/adapters.py
@@ -1,4 +1,4 @@
-"""How a control instance is spoken to; by its own interface by default."""
+"""Adapters for the HTTP interface of a control instance."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -12,7 +12,7 @@
 
 
 class ControlParts(NamedTuple):
-    """What of a control instance can be called from outside."""
+    """Parts of a control instance that an adapter's application may call."""
 
     api: api.Api
     instance: instance.Instance
@@ -22,7 +22,12 @@
 
 
 class ControlAdapters(NamedTuple):
-    """The application on a control instance's address."""
+    """The applications served by a control instance.
+
+    Attributes:
+        operators: Builds the application on the HTTP address; by default the
+            operators' API of hyssopfold.
+    """
 
     operators: Callable[[ControlParts], http.App] = lambda parts: parts.api
 
--- a/hyssopfold/control/announcement_acks.py
+++ b/hyssopfold/control/announcement_acks.py
@@ -1,9 +1,10 @@
-"""What backend servers tell a control instance, and when it is acknowledged.
+"""Acknowledgement of the announcements of backend servers.
 
-A server that leaves stops soon after the acknowledgement. An instance that is
-cut off could hear it and tell no one: entries would go on sending to it. So
-what a majority of the control instances can't be told is not acknowledged,
-and the server asks another instance.
+A leaving server stops soon after its announcement is acknowledged. If an
+instance that is cut off from the others acknowledged it, entries would not
+learn of it and would go on sending requests to the server. Therefore an
+announcement is acknowledged only if a majority of the control instances is
+reachable; otherwise the server announces itself to another instance.
 """
 
 import trio
@@ -13,49 +14,59 @@
 from hyssopfold.transport import gossip
 from hyssopfold.transport import publisher
 
-# Servers wait a second for an answer; a majority in other regions answers
+# Servers wait one second for an answer; a majority in other regions answers
 # within two round trips, some 0.2 s.
-CONFIRM_S = 0.8
-# How old the last word of a majority may be for a server's usual word: the
-# instances ask for it each second.
-MAX_AGE_S = 3.0
+CONFIRM_TIMEOUT_S = 0.8
+# Largest age of the last confirmation by a majority at which announcements of
+# ready servers are acknowledged; instances confirm each second.
+MAX_CONFIRMATION_AGE_S = 3.0
 
 
 class AnnouncementAcks:
-    """Take in announcements where they can be passed on.
+    """Spreads announcements and decides whether to acknowledge them.
+
+    An adapter's application calls it for the announcements it receives.
 
     Args:
         instance: The member of the register that this process runs.
         gossip_service: Spreads announcements.
-        confirmed: Tells when a majority was last heard of.
+        confirmations: Time of the last confirmation by a majority.
     """
 
     def __init__(
         self,
         instance: control_instance.Instance,
         gossip_service: gossip.Gossip,
-        confirmed: publisher.Confirmations,
+        confirmations: publisher.Confirmations,
     ) -> None:
         self._instance = instance
         self._gossip = gossip_service
-        self._confirmed = confirmed
+        self._confirmations = confirmations
 
     async def announce(self, server: messages.Server) -> bool:
-        """Take in a server's word; return whether to acknowledge it."""
+        """Spread an announcement; return whether to acknowledge it."""
         self._gossip.announce(server)
         if server.state == "leaving":
             return await self._confirm()
         if not self._instance.register.members:
-            # No cluster is formed yet: nothing can have been missed.
+            # No cluster is formed yet, so there are no others to be cut off
+            # from.
             return True
-        return self._confirmed.age_s(trio.current_time()) <= MAX_AGE_S
+        return (
+            self._confirmations.age_s(trio.current_time())
+            <= MAX_CONFIRMATION_AGE_S
+        )
 
     async def dismiss(self, server_id: str) -> bool:
-        """Take a server out; return whether to acknowledge it."""
+        """Announce that a server is leaving; return whether to acknowledge it.
+
+        Args:
+            server_id: The server that is leaving.
+        """
         self._gossip.dismiss(server_id)
         return await self._confirm()
 
     async def _confirm(self) -> bool:
-        with trio.move_on_after(CONFIRM_S):
+        with trio.move_on_after(CONFIRM_TIMEOUT_S):
             return await self._instance.confirm()
         return False
--- a/hyssopfold/control/api.py
+++ b/hyssopfold/control/api.py
@@ -29,8 +29,8 @@
 
 logger = logging.getLogger(__name__)
 
-# What probes and scrapers read without a token.
-_OPEN = ("/hyssop/v1/healthz", "/hyssop/v1/readyz", "/metrics")
+# Paths that probes and scrapers may read without a token.
+_PUBLIC_PATHS = ("/hyssop/v1/healthz", "/hyssop/v1/readyz", "/metrics")
 
 
 class EditBody(TypedDict):
@@ -41,20 +41,23 @@
     tables: str
 
 
-_MEMBERS = "/hyssop/v1/members/"
-_EVACUATIONS = "/hyssop/v1/evacuations/"
-_MAX_CHANGE_ID = 128
+_MEMBERS_PREFIX = "/hyssop/v1/members/"
+_EVACUATIONS_PREFIX = "/hyssop/v1/evacuations/"
+_MAX_CHANGE_ID_LENGTH = 128
 
 
 class Api:
-    """Serve operators, announcements and probes.
+    """ASGI application for operators, backend servers and probes.
 
     Args:
-        instance: The member behind this API.
-        gossip_service: Where announcements go.
+        instance: The member of the register that this process runs.
+        gossip_service: Spreads announcements.
         meter: Metrics of this process.
-        operators: Lets operators through.
-        announcers: Lets backend servers through.
+        operators: Authenticates operators.
+        announcers: Authenticates backend servers.
+
+    Attributes:
+        orders: Executes orders of operators.
     """
 
     def __init__(
@@ -92,7 +95,7 @@
             return await announcements.answer(
                 self._gossip, scope, receive, self._announcers
             )
-        if not path.startswith(_OPEN):
+        if not path.startswith(_PUBLIC_PATHS):
             refusal = self._operators.refuse(scope)
             if refusal is not None:
                 return refusal
@@ -105,7 +108,7 @@
     async def _answer_state(
         self, method: str, path: str, receive: http.Receive
     ) -> http.Answer:
-        """Answer about the durable state as a whole and its members."""
+        """Answer a request about the durable state, members or evacuations."""
         match (method, path):
             case ("GET", "/hyssop/v1/status"):
                 return await self._status()
@@ -113,9 +116,9 @@
                 return await self._get_backup()
             case ("PUT", "/hyssop/v1/backup"):
                 return await self._put_backup(receive)
-            case ("PUT" | "DELETE", _) if path.startswith(_MEMBERS):
+            case ("PUT" | "DELETE", _) if path.startswith(_MEMBERS_PREFIX):
                 return await self._change_members(method, path)
-            case ("PUT" | "DELETE", _) if path.startswith(_EVACUATIONS):
+            case ("PUT" | "DELETE", _) if path.startswith(_EVACUATIONS_PREFIX):
                 return await self._evacuate(method, path)
         return await self._probe(path)
 
@@ -145,7 +148,7 @@
     async def _status(self) -> http.Answer:
         result = await self._instance.read()
         confirmed = isinstance(result, messages.ReadDone)
-        body = state_answers.describe(
+        body = state_answers.describe_cluster(
             self._instance.node, confirmed, trio.current_time()
         )
         return http.json_answer(body)
@@ -154,10 +157,10 @@
         result = await self._instance.read()
         if isinstance(result, messages.ReadDone):
             return state_answers.backup(result.register, True)
-        # With the majority lost, what this instance holds may be all that is
-        # left; the document says that it is not confirmed.
-        held = self._instance.node.durable.register
-        return state_answers.backup(held, False)
+        # If the majority is lost, the register of this instance may be the only
+        # copy left; the document says that it is not confirmed.
+        register = self._instance.node.durable.register
+        return state_answers.backup(register, False)
 
     async def _put_backup(self, receive: http.Receive) -> http.Answer:
         body = await http.read_body(receive)
@@ -179,7 +182,7 @@
         return state_answers.answer(result, restore["change_id"])
 
     async def _change_members(self, method: str, path: str) -> http.Answer:
-        name = urllib.parse.unquote(path.removeprefix(_MEMBERS))
+        name = urllib.parse.unquote(path.removeprefix(_MEMBERS_PREFIX))
         if method == "PUT":
             result = await self._instance.add_member(name)
         else:
@@ -195,9 +198,10 @@
         return state_answers.answer(result, name)
 
     async def _evacuate(self, method: str, path: str) -> http.Answer:
-        name = urllib.parse.unquote(path.removeprefix(_EVACUATIONS))
+        name = urllib.parse.unquote(path.removeprefix(_EVACUATIONS_PREFIX))
         kind = orders.Evacuate if method == "PUT" else orders.EndEvacuation
-        # Sent again after its end, the same order is a new one.
+        # A repeated request is a new order, since the evacuation may have ended
+        # in between.
         result = await self.orders.execute(uuid.uuid4().hex, kind(name))
         return state_answers.order_answer(result, name)
 
@@ -205,10 +209,10 @@
         result = await self._instance.read()
         if not isinstance(result, messages.ReadDone):
             return state_answers.answer(result, "")
-        held = state.decode(result.register.value)
-        plain = tables.to_plain(held.tables)
+        current = state.decode(result.register.value)
+        plain = tables.to_plain(current.tables)
         body = {"revision": result.register.revision, **plain}
-        body["evacuated"] = held.evacuated
+        body["evacuated"] = current.evacuated
         return http.json_answer(body)
 
     async def _put_tables(
@@ -222,18 +226,20 @@
             return _body_fault(str(exc), "the edit's fields")
         except errors.InvalidDocumentError as exc:
             return http.error_answer(exc, 422)
-        if len(edit["change_id"]) > _MAX_CHANGE_ID:
-            return _body_fault("a change id", f"up to {_MAX_CHANGE_ID} letters")
+        if len(edit["change_id"]) > _MAX_CHANGE_ID_LENGTH:
+            return _body_fault(
+                "a change id", f"up to {_MAX_CHANGE_ID_LENGTH} characters"
+            )
         try:
-            planned = await self._planned(edit["expect"], parsed)
+            planned = await self._plan_edit(edit["expect"], parsed)
         except errors.InvalidDocumentError as exc:
             return http.error_answer(exc, 422)
         if planned is None:
-            # Nothing was submitted: the refusal is certain.
-            behind = messages.EditNotAccepted(
+            # Nothing was submitted, so the edit can't take effect later.
+            refusal = messages.EditNotAccepted(
                 "this control instance is behind and reaches no majority"
             )
-            return state_answers.answer(behind, edit["change_id"])
+            return state_answers.answer(refusal, edit["change_id"])
         result = await self._instance.edit(
             edit["change_id"],
             edit["expect"],
@@ -244,13 +250,19 @@
         _log_edit(edit["change_id"], edit["expect"], result, client)
         return state_answers.answer(result, edit["change_id"])
 
-    async def _planned(
+    async def _plan_edit(
         self, expect: int, parsed: tables.Tables
     ) -> state.State | None:
         """Return the state to submit: new tables and the shifts they start.
 
-        None when this instance is behind the revision edited and cannot
-        catch up: it could only plan from a state that is not the one edited.
+        Args:
+            expect: Revision that the edit is based on.
+            parsed: The new tables.
+
+        Returns:
+            None if this instance has not learned the expected revision and
+            reaches no majority to read it; a plan from another state would be
+            wrong.
         """
         register = self._instance.register
         if register.revision < expect:
@@ -259,12 +271,12 @@
                 return None
             register = result.register
         if register.revision != expect:
-            # Refused by compare-and-set, or a resent edit that gets its first
-            # answer: what it would plan is of no account.
+            # The edit is rejected by compare-and-set, or it is a resent edit
+            # that gets its first answer: the shifts are not used.
             return state.State(parsed)
-        held = state.decode(register.value)
-        planned = plans.after_edit(held, parsed, time.time())
-        # The document of an earlier version does not make these tables.
+        current = state.decode(register.value)
+        planned = plans.after_edit(current, parsed, time.time())
+        # The document rows of an earlier version don't match these tables.
         return planned._replace(rows=())
 
 
--- a/hyssopfold/control/client.py
+++ b/hyssopfold/control/client.py
@@ -1,4 +1,4 @@
-"""Client of the operators' API, which asks one instance after another."""
+"""Client of the operators' API that tries one control instance after another."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -10,31 +10,40 @@
 from hyssopfold import errors
 
 CONNECT_TIMEOUT_S = 1.0
-# A frozen or cut-off instance takes the connection and never answers. All are
-# asked with little patience first; only when none settled it, with more than
-# an instance itself takes until it gives an edit up.
-PATIENCE_S = (3.0, 11.0)
+# Read timeouts in seconds, one for each round over all instances. A frozen or
+# cut-off instance accepts connections and never answers, so the first timeout
+# is short. The second is used only if no instance settled the request; it is
+# longer than the time after which an instance itself gives up an edit.
+READ_TIMEOUTS_S = (3.0, 11.0)
 
 
 class Reply(NamedTuple):
-    """Status and body of an answer."""
+    """Status and decoded JSON body of an answer."""
 
     status: int
     body: dict[str, Any]
 
 
-class _Attempt:
-    """What was learned from the instances that settled nothing."""
+class _Failures:
+    """Failures of the instances tried so far for one request.
+
+    Attributes:
+        may_be_accepted: Whether an instance may have accepted the request.
+        is_silent: Whether an instance did not answer in time or broke the
+            connection.
+        refusal: Summary of the last refusal, or empty.
+        last: The last failure.
+    """
 
     def __init__(self) -> None:
-        self.unsure = False
+        self.may_be_accepted = False
         self.is_silent = False
         self.refusal = ""
         self.last = "no instance is configured"
 
 
 class Client:
-    """Call the control instances over HTTP.
+    """Client of the control instances over HTTP, used by `hyssopctl`.
 
     Args:
         urls: Base URLs of the instances.
@@ -46,12 +55,15 @@
         self._token = token
 
     def get_confirmed(self, path: str) -> Reply:
-        """Return the first answer that a majority has confirmed, else any.
+        """Return the first answer that a majority confirmed, or else any.
+
+        Args:
+            path: Path of the request.
 
         Raises:
-            PeerUnavailableError: when no instance gave one.
+            PeerUnavailableError: if no instance answered.
         """
-        found = None
+        unconfirmed = None
         for url in self._urls:
             client = Client([url], self._token)
             try:
@@ -60,81 +72,100 @@
                 continue
             if reply.body.get("confirmed"):
                 return reply
-            found = found or reply
-        return found or self.get(path)
+            unconfirmed = unconfirmed or reply
+        return unconfirmed or self.get(path)
 
     def get(self, path: str) -> Reply:
-        """Return the first good answer of any instance.
+        """Return the first answer of any instance that is no server error.
+
+        Args:
+            path: Path of the request.
 
         Raises:
-            PeerUnavailableError: when no instance gave one.
+            NotAcceptedError: if an instance refused and none answered.
+            PeerUnavailableError: if no instance answered.
         """
         return self._ask("GET", path, None)
 
     def put(self, path: str, body: dict[str, Any]) -> Reply:
         """Send an edit to one instance after another until one settles it.
 
-        The body names a change id, so asking twice is safe.
+        Args:
+            path: Path of the request.
+            body: The edit. It has a change id, so sending it twice is safe.
 
         Raises:
-            OutcomeUnknownError: when an instance may have taken it.
-            PeerUnavailableError: when none did for certain.
+            OutcomeUnknownError: if an instance may have accepted it.
+            NotAcceptedError: if an instance refused it and none accepted it.
+            PeerUnavailableError: if no instance accepted it, nor can have.
         """
         return self._ask("PUT", path, body)
 
     def delete(self, path: str, name: str) -> Reply:
         """Send a removal to one instance after another until one settles it.
 
+        Args:
+            path: Path of the request.
+            name: Name of the removed object, for the error.
+
         Raises:
-            OutcomeUnknownError: when an instance may have taken it.
-            PeerUnavailableError: when none did for certain.
+            OutcomeUnknownError: if an instance may have accepted it.
+            NotAcceptedError: if an instance refused it and none accepted it.
+            PeerUnavailableError: if no instance accepted it, nor can have.
         """
         return self._ask("DELETE", path, {"change_id": name})
 
     def _ask(
         self, method: str, path: str, body: dict[str, Any] | None
     ) -> Reply:
-        attempt = _Attempt()
-        for patience_s in PATIENCE_S:
+        failures = _Failures()
+        for read_timeout_s in READ_TIMEOUTS_S:
             for url in self._urls:
-                reply = self._try(method, url + path, body, patience_s, attempt)
+                reply = self._try(
+                    method, url + path, body, read_timeout_s, failures
+                )
                 if reply is not None:
                     return reply
-            if not attempt.is_silent:
+            if not failures.is_silent:
                 break
-        if attempt.unsure and body is not None:
+        if failures.may_be_accepted and body is not None:
             raise errors.OutcomeUnknownError(str(body.get("change_id", path)))
-        if attempt.refusal:
-            raise errors.NotAcceptedError(attempt.refusal)
-        raise errors.PeerUnavailableError(", ".join(self._urls), attempt.last)
+        if failures.refusal:
+            raise errors.NotAcceptedError(failures.refusal)
+        raise errors.PeerUnavailableError(", ".join(self._urls), failures.last)
 
     def _try(
         self,
         method: str,
         url: str,
         body: dict[str, Any] | None,
-        patience_s: float,
-        attempt: "_Attempt",
+        read_timeout_s: float,
+        failures: "_Failures",
     ) -> Reply | None:
-        """Return what one instance settled, or None to ask the next."""
+        """Send a request to one instance.
+
+        Returns:
+            Its answer, or None if the next instance shall be tried; `failures`
+            is updated in this case.
+        """
         try:
-            reply = self._call(method, url, body, patience_s)
+            reply = self._call(method, url, body, read_timeout_s)
         except (httpcore.ConnectError, httpcore.ConnectTimeout) as exc:
-            attempt.last = f"{type(exc).__name__} {exc}".strip()
+            failures.last = f"{type(exc).__name__} {exc}".strip()
             return None
         except (httpcore.NetworkError, httpcore.TimeoutException,
                 httpcore.ProtocolError) as exc:  # fmt: skip
-            attempt.unsure = True
-            attempt.is_silent = True
-            attempt.last = f"{type(exc).__name__} {exc}".strip()
+            failures.may_be_accepted = True
+            failures.is_silent = True
+            failures.last = f"{type(exc).__name__} {exc}".strip()
             return None
         if reply.status < 500:
             return reply
-        attempt.last = str(reply.body.get("error", reply.status))
+        failures.last = str(reply.body.get("error", reply.status))
         if reply.status == 503:
-            attempt.refusal = str(reply.body.get("summary", attempt.last))
+            failures.refusal = str(reply.body.get("summary", failures.last))
         else:
-            attempt.unsure = True
+            failures.may_be_accepted = True
         return None
 
     def _call(
@@ -142,7 +173,7 @@
         method: str,
         url: str,
         body: dict[str, Any] | None,
-        patience_s: float,
+        read_timeout_s: float,
     ) -> Reply:
         headers: dict[bytes | str, bytes | str] = {
             "content-type": "application/json"
@@ -155,7 +186,10 @@
             headers=headers,
             content=msgspec.json.encode(body) if body is not None else None,
             extensions={
-                "timeout": {"connect": CONNECT_TIMEOUT_S, "read": patience_s}
+                "timeout": {
+                    "connect": CONNECT_TIMEOUT_S,
+                    "read": read_timeout_s,
+                }
             },
         )
         try:
--- a/hyssopfold/control/instance.py
+++ b/hyssopfold/control/instance.py
@@ -21,12 +21,14 @@
 logger = logging.getLogger(__name__)
 
 _QUEUE = 256
-_MEND_S = 5.0
+# Seconds between two attempts to write after a failed write.
+_STORAGE_RETRY_S = 5.0
+# Seconds that an answer may take beyond the timeout of the operation.
 _ANSWER_MARGIN_S = 2.0
 
 
 class Records(Protocol):
-    """Where votes are kept; each save returns once it is synced."""
+    """Storage of a member's votes; a save returns after it is synced."""
 
     def save_promise(self, promised: messages.Ballot) -> None:
         """Write and sync a promise."""
@@ -39,7 +41,7 @@
     def save_observed_starts(
         self, observed_starts: tuple[messages.ObservedStart, ...]
     ) -> None:
-        """Write and sync what was seen of others."""
+        """Write and sync the observed starts of other members."""
 
     def save_all(self, durable: messages.DurableState) -> None:
         """Write and sync all votes."""
@@ -47,7 +49,7 @@
 
 class _Request(NamedTuple):
     event: messages.Operation
-    answer: trio.MemorySendChannel[messages.Result]
+    answer_channel: trio.MemorySendChannel[messages.Result]
 
 
 Save = Callable[..., None]
@@ -55,14 +57,21 @@
 
 
 class Instance:
-    """Carry a member's effects: disk, messages, answers.
+    """Runs a member of the register: its disk, messages and operations.
+
+    The API and the orders of a control instance call its operations.
 
     Args:
-        node: The member's decisions.
-        records: Where its votes are kept.
-        connect: Returns a client to the instance at an address.
-        operation_timeout_s: Time until the member gives an operation up.
-        run_blocking: Runs a blocking call without holding up other tasks.
+        node: Makes the member's decisions.
+        records: Stores its votes.
+        connect: Returns a client for the instance at an address.
+        operation_timeout_s: Seconds after which the member gives up an
+            operation.
+        run_blocking: Runs a blocking call without blocking other tasks.
+
+    Attributes:
+        listeners: Called with the revision and value of each learned register.
+        register: The newest register learned.
     """
 
     def __init__(
@@ -77,16 +86,17 @@
         self._records = records
         self._run_blocking = run_blocking
         self._outboxes = outboxes.Outboxes(node.replica.id, connect)
-        events, self._events = trio.open_memory_channel[
+        events_in, self._events = trio.open_memory_channel[
             _Request | messages.Received
         ](_QUEUE)
-        self._inbox = events
-        self._answers: dict[int, trio.MemorySendChannel[messages.Result]] = {}
+        self._inbox = events_in
+        self._answer_channels: dict[
+            int, trio.MemorySendChannel[messages.Result]
+        ] = {}
         self._answer_timeout_s = operation_timeout_s + _ANSWER_MARGIN_S
-        self._requests = 0
-        self._mend_at: float | None = None
-        self._ran = False
-        # Called with each revision and value that is learned.
+        self._last_request = 0
+        self._storage_retry_at: float | None = None
+        self._has_run = False
         self.listeners: list[Callable[[int, bytes], None]] = []
         self.register = node.learned
 
@@ -101,11 +111,11 @@
         """Return the outcome of an edit.
 
         Args:
-            change_id: Name of the edit; a resent one gets its first answer.
-            expect: Revision that was edited.
-            value: The state to put in force.
-            digest: Tells the edit from another under the same name.
-            floor: Least revision to give.
+            change_id: Id of the edit; a resent edit gets its first answer.
+            expect: Revision that the edit is based on.
+            value: The encoded state to put in force.
+            digest: Distinguishes the edit from another one with the same id.
+            floor: Lowest revision to assign.
         """
         return await self._ask(
             lambda request: messages.Edit(
@@ -114,17 +124,25 @@
         )
 
     async def read(self) -> messages.Result:
-        """Return the register, as of a moment after this call."""
+        """Return the register at a time after the start of this call."""
         return await self._ask(messages.Read)
 
     async def add_member(self, name: str) -> messages.Result:
-        """Let an instance vote that has caught up."""
+        """Make an instance a member; it votes from then on.
+
+        Args:
+            name: An instance that has learned the current revision.
+        """
         return await self._ask(
             lambda request: messages.AddMember(request, name)
         )
 
     async def remove_member(self, name: str) -> messages.Result:
-        """Let a member vote no more."""
+        """Remove a member, which doesn't vote any more.
+
+        Args:
+            name: The member.
+        """
         return await self._ask(
             lambda request: messages.RemoveMember(request, name)
         )
@@ -132,15 +150,15 @@
     async def _ask(
         self, make: Callable[[int], messages.Operation]
     ) -> messages.Result:
-        self._requests += 1
-        event = make(self._requests)
+        self._last_request += 1
+        event = make(self._last_request)
         send, receive = trio.open_memory_channel[messages.Result](1)
         try:
             self._inbox.send_nowait(_Request(event, send))
         except trio.WouldBlock:
             return messages.EditNotAccepted("too many operations wait")
-        # A disk that hangs in the middle of a sync holds the member up; the
-        # operator must get an answer all the same.
+        # A disk that hangs during a sync blocks the member; the operator must
+        # get an answer nevertheless.
         with trio.move_on_after(self._answer_timeout_s):
             return await receive.receive()
         return messages.OutcomeUnknown()
@@ -148,7 +166,11 @@
     async def deliver(
         self, envelope: consensus_wire.Envelope
     ) -> consensus_wire.Ack:
-        """Take in a message of another member."""
+        """Queue a message of another member.
+
+        Args:
+            envelope: The message and its sender.
+        """
         try:
             message = consensus_wire.unwrap(envelope)
         except msgspec.DecodeError as exc:
@@ -160,100 +182,118 @@
         try:
             self._inbox.send_nowait(received)
         except trio.WouldBlock:
-            # Lost like on the wire: the sender's round is tried again.
+            # As if lost by the network: the sender repeats its round.
             logger.warning(logs.Event("inbox-full", sender=envelope.sender))
         return consensus_wire.Ack()
 
     async def run(self) -> None:
-        """Own the member: take one event at a time, carry its effects."""
-        if self._ran:
-            # What failed may have come between a vote and its write.
-            await self._mend()
-        self._ran = True
+        """Process one event after another and execute its effects."""
+        if self._has_run:
+            # The previous run may have failed between a vote and its write.
+            await self._restore_storage()
+        self._has_run = True
         try:
             async with self._outboxes.running():
                 while True:
                     await self._handle(await self._next_event())
         finally:
-            self._abandon_answers()
+            self._answer_pending_unknown()
 
     async def _handle(self, event: messages.Event) -> None:
         effects = self.node.handle(event, trio.current_time())
         for index, effect in enumerate(effects):
             try:
-                await _carry(effect, self)
+                await _execute(effect, self)
             except errors.StorageWriteError as exc:
                 logger.error(  # noqa: TRY400 - the cause is in the event
                     logs.Event("storage-failed", error=exc)
                 )
-                self._drop(effects[index + 1 :])
-                self._mend_at = trio.current_time() + _MEND_S
+                self._drop_effects(effects[index + 1 :])
+                self._storage_retry_at = trio.current_time() + _STORAGE_RETRY_S
                 await self._handle(messages.StorageFailed(str(exc)))
                 return
 
-    def _drop(self, effects: list[messages.Effect]) -> None:
-        """Answer what would have been told after a save that failed.
+    def _drop_effects(self, effects: list[messages.Effect]) -> None:
+        """Drop the effects that follow a failed save; answer their operations.
+
+        No message may leave this instance that depends on the lost write. The
+        outcome of an edit answered in the same batch is unknown.
 
-        Nothing that rests on the lost write may leave this instance; an edit
-        answered in the same batch may or may not survive.
+        Args:
+            effects: The effects that were not executed.
         """
         for effect in effects:
             if isinstance(effect, messages.Reply):
                 self.reply(effect.request, messages.OutcomeUnknown())
 
-    async def _mend(self) -> None:
+    async def _restore_storage(self) -> None:
         try:
             await self.save(self._records.save_all, self.node.durable)
         except errors.StorageWriteError as exc:
-            self._mend_at = trio.current_time() + _MEND_S
+            self._storage_retry_at = trio.current_time() + _STORAGE_RETRY_S
             await self._handle(messages.StorageFailed(str(exc)))
             return
-        self._mend_at = None
+        self._storage_retry_at = None
         logger.info(logs.Event("storage-mended"))
         await self._handle(messages.StorageRecovered())
 
     async def _next_event(self) -> messages.Event:
         now = trio.current_time()
-        if self._mend_at is not None and now >= self._mend_at:
-            await self._mend()
-        due = self.node.next_deadline()
-        if self._mend_at is not None:
-            due = min(due, self._mend_at)
-        with trio.move_on_after(max(0.0, due - trio.current_time())):
-            item = await self._events.receive()
-            if isinstance(item, _Request):
-                self._answers[item.event.request] = item.answer
-                return item.event
-            return item
+        if self._storage_retry_at is not None and now >= self._storage_retry_at:
+            await self._restore_storage()
+        deadline = self.node.next_deadline()
+        if self._storage_retry_at is not None:
+            deadline = min(deadline, self._storage_retry_at)
+        with trio.move_on_after(max(0.0, deadline - trio.current_time())):
+            received = await self._events.receive()
+            if isinstance(received, _Request):
+                self._answer_channels[received.event.request] = (
+                    received.answer_channel
+                )
+                return received.event
+            return received
         return messages.Tick()
 
-    def _abandon_answers(self) -> None:
-        for request in list(self._answers):
+    def _answer_pending_unknown(self) -> None:
+        for request in list(self._answer_channels):
             self.reply(request, messages.OutcomeUnknown())
 
     async def confirm(self) -> bool:
-        """Return whether a majority answers for the revision learned.
+        """Return whether a majority confirms the learned revision.
 
-        Run each second, it also brings what was chosen while this instance
-        was down or cut off.
+        If run each second, it also fetches revisions that were chosen while
+        this instance was down or cut off.
         """
         return isinstance(await self.read(), messages.ReadDone)
 
     async def save(self, save: Save, *values: Any) -> None:
-        """Write and sync without holding up other tasks."""
+        """Write and sync without blocking other tasks.
+
+        Args:
+            save: A method of `records`.
+            *values: Its arguments.
+
+        Raises:
+            StorageWriteError: if the write fails.
+        """
         await self._run_blocking(save, *values)
 
     @property
     def records(self) -> Records:
-        """Return where votes are kept."""
+        """Return the storage of the votes."""
         return self._records
 
     def send(self, to: messages.Endpoint, message: messages.Message) -> None:
-        """Queue a message; a full queue loses it, as the wire may."""
+        """Queue a message to another instance; if the queue is full, drop it.
+
+        Args:
+            to: The receiver.
+            message: The message, which the network may lose too.
+        """
         self._outboxes.send(to, message)
 
     async def learn(self, register: messages.Register) -> None:
-        """Put a chosen register in force and wake who waits for it."""
+        """Put a chosen register in force and call the listeners."""
         self.register = register
         for listener in self.listeners:
             listener(register.revision, register.value)
@@ -267,48 +307,53 @@
         )
 
     def reply(self, request: int, result: messages.Result) -> None:
-        """Answer the caller of an operation."""
-        answer = self._answers.pop(request, None)
-        if answer is not None:
-            answer.send_nowait(result)
+        """Return the result of an operation to its caller.
+
+        Args:
+            request: Number of the operation.
+            result: Its result.
+        """
+        answer_channel = self._answer_channels.pop(request, None)
+        if answer_channel is not None:
+            answer_channel.send_nowait(result)
 
 
 @functools.singledispatch
-async def _carry(effect: messages.Effect, instance: Instance) -> None:
-    """Carry one effect of the member."""
-    raise TypeError(f"no such effect: {effect!r}")
+async def _execute(effect: messages.Effect, instance: Instance) -> None:
+    """Execute one effect of the member."""
+    raise TypeError(f"unknown effect type: {effect!r}")
 
 
-@_carry.register
+@_execute.register
 async def _(effect: messages.SavePromise, instance: Instance) -> None:
     await instance.save(instance.records.save_promise, effect.promised)
 
 
-@_carry.register
+@_execute.register
 async def _(effect: messages.SaveRegister, instance: Instance) -> None:
     await instance.save(
         instance.records.save_register, effect.accepted, effect.register
     )
 
 
-@_carry.register
+@_execute.register
 async def _(effect: messages.SaveObservedStarts, instance: Instance) -> None:
     await instance.save(
         instance.records.save_observed_starts, effect.observed_starts
     )
 
 
-@_carry.register
+@_execute.register
 async def _(effect: messages.Send, instance: Instance) -> None:
     instance.send(effect.to, effect.message)
 
 
-@_carry.register
+@_execute.register
 async def _(effect: messages.Learned, instance: Instance) -> None:
     await instance.learn(effect.register)
 
 
-@_carry.register
+@_execute.register
 async def _(effect: messages.FaultChanged, instance: Instance) -> None:
     if effect.fault:
         logger.warning(logs.Event("not-voting", reason=effect.fault))
@@ -316,6 +361,6 @@
         logger.info(logs.Event("voting"))
 
 
-@_carry.register
+@_execute.register
 async def _(effect: messages.Reply, instance: Instance) -> None:
     instance.reply(effect.request, effect.result)
--- a/hyssopfold/control/orders.py
+++ b/hyssopfold/control/orders.py
@@ -1,4 +1,4 @@
-"""Carry operators' orders into the replicated state."""
+"""Execution of operators' orders on the replicated state."""
 
 import functools
 import logging
@@ -17,27 +17,30 @@
 
 logger = logging.getLogger(__name__)
 
-# Orders that race for a revision are tried on the next one: eight at once,
-# each of which may lose to all others, and one more for a change of members.
-MAX_TRIES = 9
+# An order that loses a race for a revision is tried again on the next one. Of
+# eight concurrent orders each may lose to all others; one more attempt is for a
+# change of members.
+MAX_ATTEMPTS = 9
 
 
 class Accepted(NamedTuple):
-    """The order is in the durable state, as `revision` or an earlier one."""
+    """The order is in the durable state since `revision` or an earlier one."""
 
     revision: int
 
 
 class Rejected(NamedTuple):
-    """The order is certain never to take effect, and why."""
+    """The order will never take effect; `error` is the reason."""
 
     error: errors.HyssopError
 
 
 class Unsettled(NamedTuple):
-    """No majority answered in time.
+    """The order was not accepted, or no majority answered in time.
 
-    `unknown` tells that the order may still take effect; else it will not.
+    Attributes:
+        unknown: Whether the order may still take effect.
+        reason: Why the order was not accepted.
     """
 
     unknown: bool
@@ -45,7 +48,7 @@
 
 
 class Elsewhere(NamedTuple):
-    """This instance decides no orders; that at `address` (HTTP) does."""
+    """This instance doesn't vote; the one at HTTP `address` executes orders."""
 
     address: str
 
@@ -54,26 +57,32 @@
 
 
 class Orders:
-    """Decide orders one after another, each on the newest state.
+    """Executes orders, each on the newest state.
+
+    The API and an adapter's application call it.
 
     Args:
         instance: The member of the register that this process runs.
-        known: Directory of the control instances.
+        instance_directory: Directory of the control instances.
     """
 
     def __init__(
         self,
         instance: control_instance.Instance,
-        known: directory.Directory | None = None,
+        instance_directory: directory.Directory | None = None,
     ) -> None:
         self._instance = instance
-        self._directory = known
+        self._directory = instance_directory
 
     async def execute(self, change_id: str, order: orders.Order) -> Result:
-        """Return what became of an order.
+        """Execute an order and return its result.
+
+        The same order may be sent again under the same `change_id` to any
+        control instance; once accepted, it is accepted again each time.
 
-        The same order may be sent again under the same `change_id`, to any
-        control instance: once accepted, it is accepted for good.
+        Args:
+            change_id: Id of the order.
+            order: The order.
         """
         began = trio.current_time()
         result = self._elsewhere() or await self._settle(change_id, order)
@@ -91,54 +100,55 @@
         return result
 
     def _elsewhere(self) -> Elsewhere | None:
-        """Return a voter to ask, unless this instance votes itself."""
+        """Return a voter to send the order to, unless this instance votes."""
         replica = self._instance.node.replica
         if self._directory is None or replica.is_blank or replica.is_voter:
             return None
         voters = {member.address for member in replica.register.members}
-        for word in self._directory.instances.words():
-            if word.rpc_address in voters and word.state == "ready":
-                return Elsewhere(word.address)
+        for record in self._directory.instances.words():
+            if record.rpc_address in voters and record.state == "ready":
+                return Elsewhere(record.address)
         return None
 
     async def _settle(self, change_id: str, order: orders.Order) -> Result:
-        # What this instance has learned is newest nearly always: an edit on
-        # it is safe, since it only wins if no other revision came between.
+        # The register that this instance has learned is nearly always the
+        # newest. An edit based on it is safe: it is accepted only if no other
+        # revision was chosen since.
         register = self._instance.register
         is_newest = False
-        for _ in range(MAX_TRIES):
+        for _ in range(MAX_ATTEMPTS):
             if register.accepted_change(change_id) is not None:
                 return Accepted(register.revision)
-            found = self._try(order, register)
-            if isinstance(found, bytes):
+            applied = self._apply(order, register)
+            if isinstance(applied, bytes):
                 result = await self._instance.edit(
-                    change_id, register.revision, found
+                    change_id, register.revision, applied
                 )
                 if not isinstance(result, messages.EditConflict):
-                    return _of_edit(result)
+                    return _result_of_edit(result)
             elif is_newest:
-                return found
+                return applied
             read = await self._instance.read()
             if not isinstance(read, messages.ReadDone):
                 return _unsettled(read)
             register, is_newest = read.register, True
-        return Unsettled(False, "other orders won each time")
+        return Unsettled(False, "other orders were accepted first each time")
 
-    def _try(
+    def _apply(
         self, order: orders.Order, register: messages.Register
     ) -> bytes | Result:
-        """Return the value to propose, or what is certain without a round."""
+        """Return the value to propose, or a result that needs no proposal."""
         try:
-            held = state_module.decode(register.value)
-            new = orders.apply(order, held, time.time())
+            current = state_module.decode(register.value)
+            new = orders.apply(order, current, time.time())
         except errors.HyssopError as exc:
             return Rejected(exc)
-        if new == held:
+        if new == current:
             return Accepted(register.revision)
         return state_module.encode(new)
 
     async def read(self) -> state_module.State | None:
-        """Return the newest state, or None without a majority."""
+        """Return the newest state, or None if no majority answered."""
         result = await self._instance.read()
         if isinstance(result, messages.ReadDone):
             return state_module.decode(result.register.value)
@@ -146,17 +156,17 @@
 
 
 @functools.singledispatch
-def _of_edit(result: messages.Result) -> Result:
-    raise TypeError(f"no such result of an edit: {result!r}")
+def _result_of_edit(result: messages.Result) -> Result:
+    raise TypeError(f"unknown result of an edit: {result!r}")
 
 
-@_of_edit.register
+@_result_of_edit.register
 def _(result: messages.EditAccepted) -> Result:
     return Accepted(result.revision)
 
 
-@_of_edit.register(messages.EditNotAccepted)
-@_of_edit.register(messages.OutcomeUnknown)
+@_result_of_edit.register(messages.EditNotAccepted)
+@_result_of_edit.register(messages.OutcomeUnknown)
 def _(result: messages.Result) -> Result:
     return _unsettled(result)
 
--- a/hyssopfold/control/outboxes.py
+++ b/hyssopfold/control/outboxes.py
@@ -1,4 +1,4 @@
-"""Queues of messages to the other control instances, one for each address."""
+"""Queues of messages to the other control instances, one per address."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -21,8 +21,8 @@
 SEND_TIMEOUT_S = 2.0
 _QUEUE = 64
 _MAX_OUTBOXES = 32
-# Calls under way to one peer: enough that a message need not wait for the
-# round trip of the one before it.
+# Concurrent calls to one peer, so that a message doesn't wait for the round
+# trip of the previous one.
 _WORKERS = 3
 
 
@@ -30,31 +30,37 @@
     """Calls to one peer."""
 
     async def call(self, method: rpc.Method, req: Any, timeout_s: float) -> Any:
-        """Return the peer's answer."""
+        """Return the peer's answer.
 
+        Raises:
+            PeerUnavailableError: if no answer arrived within `timeout_s`.
+        """
 
-class _Item(NamedTuple):
+
+class _QueuedMessage(NamedTuple):
     message: messages.Message
     queued_at: float
 
 
 class Outboxes:
-    """Send messages without waiting; what cannot be sent in time is lost.
+    """Sends messages to other members without waiting.
+
+    Messages that can't be sent within `SEND_TIMEOUT_S` are dropped.
 
     Args:
         sender: Id under which this instance votes.
-        connect: Returns a client to the instance at an address.
+        connect: Returns a client for the instance at an address.
     """
 
     def __init__(self, sender: str, connect: Callable[[str], Client]) -> None:
         self._sender = sender
         self._connect = connect
-        self._queues: dict[str, trio.MemorySendChannel[_Item]] = {}
+        self._queues: dict[str, trio.MemorySendChannel[_QueuedMessage]] = {}
         self._nursery: trio.Nursery | None = None
 
     @contextlib.asynccontextmanager
     async def running(self) -> AsyncIterator[None]:
-        """Run the senders; what is sent at any other time is lost."""
+        """Run the senders; messages sent at any other time are dropped."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             try:
@@ -65,22 +71,29 @@
                 nursery.cancel_scope.cancel()
 
     def send(self, to: messages.Endpoint, message: messages.Message) -> None:
-        """Queue a message; a full queue loses it, as the wire may."""
+        """Queue a message; if the queue is full, drop it.
+
+        Args:
+            to: The receiver.
+            message: The message, which the network may lose too.
+        """
         queue = self._queue(to.address)
         if queue is None:
             return
         try:
-            queue.send_nowait(_Item(message, trio.current_time()))
+            queue.send_nowait(_QueuedMessage(message, trio.current_time()))
         except trio.WouldBlock:
             logger.debug(logs.Event("outbox-full", to=to.name))
 
-    def _queue(self, address: str) -> trio.MemorySendChannel[_Item] | None:
+    def _queue(
+        self, address: str
+    ) -> trio.MemorySendChannel[_QueuedMessage] | None:
         queue = self._queues.get(address)
         if queue is not None:
             return queue
         if self._nursery is None or len(self._queues) >= _MAX_OUTBOXES:
             return None
-        queue, receive = trio.open_memory_channel[_Item](_QUEUE)
+        queue, receive = trio.open_memory_channel[_QueuedMessage](_QUEUE)
         self._queues[address] = queue
         client = self._connect(address)
         for _ in range(_WORKERS):
@@ -91,14 +104,14 @@
         self,
         client: Client,
         address: str,
-        receive: trio.MemoryReceiveChannel[_Item],
+        receive: trio.MemoryReceiveChannel[_QueuedMessage],
     ) -> None:
-        async for item in receive:
-            # Behind a silent connection messages pile up; the old ones belong
-            # to rounds that are over, and would only delay the new.
-            if trio.current_time() - item.queued_at > SEND_TIMEOUT_S:
+        async for queued in receive:
+            # Messages pile up behind a dead connection. Old messages belong to
+            # rounds that have ended and would only delay new messages.
+            if trio.current_time() - queued.queued_at > SEND_TIMEOUT_S:
                 continue
-            envelope = consensus_wire.wrap(self._sender, item.message)
+            envelope = consensus_wire.wrap(self._sender, queued.message)
             try:
                 await client.call(
                     consensus_wire.DELIVER, envelope, SEND_TIMEOUT_S
--- a/hyssopfold/control/quarantine_records.py
+++ b/hyssopfold/control/quarantine_records.py
@@ -1,7 +1,7 @@
-"""The quarantine on disk: it outlives a loss of power of all instances.
+"""The quarantine on disk, which survives a power failure of all instances.
 
-Each control instance keeps what it was told. Nothing is agreed on: what any of
-them reads back is told to all again.
+Each control instance writes the reports it received, without a consensus. After
+a start it reports to all instances what it reads back.
 """
 
 from collections.abc import Callable
@@ -20,63 +20,69 @@
 logger = logging.getLogger(__name__)
 
 RECORD = "quarantine"
-# How long changes are gathered before they are written.
+# Delay in which changes are collected into one write.
 BATCH_S = 0.2
 
 
-class _Kept(NamedTuple):
-    """Reports, and the time of day in seconds at which they were written."""
+class _StoredReports(NamedTuple):
+    """Reports, and the UTC in seconds since 1970 at which they were written."""
 
     written_at: float
     reports: tuple[quarantine.Report, ...]
 
 
 class QuarantineRecords:
-    """Keep a quarantine in the data folder.
+    """Writes the quarantine of a control instance to the data folder.
 
     Args:
         data: The data folder.
-        time_of_day: Returns the time of day in seconds.
-        run_blocking: Runs a blocking call without holding up other tasks.
+        utc_s: Returns UTC in seconds since 1970.
+        run_blocking: Runs a blocking call without blocking other tasks.
     """
 
     def __init__(
         self,
         data: folder.DataFolder,
-        time_of_day: Callable[[], float],
+        utc_s: Callable[[], float],
         run_blocking: instance.RunBlocking = trio.to_thread.run_sync,
     ) -> None:
         self._data = data
-        self._time_of_day = time_of_day
+        self._utc_s = utc_s
         self._run_blocking = run_blocking
         self._changed = trio.Event()
         self._table: quarantine.Quarantine | None = None
 
     def load(self) -> tuple[quarantine.Report, ...]:
-        """Return what was kept, as old as it is by now.
+        """Return the stored reports, with their age at this time.
 
-        A record that cannot be read is left out: no acknowledgement rests on it.
+        An unreadable record counts as empty, since no acknowledgement depends
+        on it.
         """
         try:
             record = self._data.read(RECORD)
             if record is None:
                 return ()
-            kept = msgspec.msgpack.decode(record, type=_Kept)
+            stored = msgspec.msgpack.decode(record, type=_StoredReports)
         except (errors.CorruptStorageError, msgspec.DecodeError) as exc:
             logger.warning(logs.Event("quarantine-not-read", error=exc))
             return ()
-        passed_s = max(0.0, self._time_of_day() - kept.written_at)
+        elapsed_s = max(0.0, self._utc_s() - stored.written_at)
         return tuple(
-            one._replace(age_s=one.age_s + passed_s) for one in kept.reports
+            report._replace(age_s=report.age_s + elapsed_s)
+            for report in stored.reports
         )
 
     def schedule_write(self, table: quarantine.Quarantine) -> None:
-        """Write the quarantine soon: it has changed."""
+        """Write the changed quarantine after `BATCH_S`.
+
+        Args:
+            table: The quarantine.
+        """
         self._table = table
         self._changed.set()
 
     async def run(self) -> None:
-        """Write changes, for ever."""
+        """Write changes until cancelled."""
         while True:
             await self._changed.wait()
             await trio.sleep(BATCH_S)
@@ -86,9 +92,9 @@
     async def _write(self) -> None:
         assert self._table is not None
         reports = tuple(self._table.shared(trio.current_time()))
-        record = msgspec.msgpack.encode(_Kept(self._time_of_day(), reports))
+        record = msgspec.msgpack.encode(_StoredReports(self._utc_s(), reports))
         try:
-            # A disk that hangs must not hold up the votes.
+            # A disk that hangs must not block the votes.
             await self._run_blocking(self._data.write, RECORD, record)
         except errors.StorageWriteError as exc:
             logger.warning(logs.Event("quarantine-not-kept", error=exc))
--- a/hyssopfold/control/slot_votes.py
+++ b/hyssopfold/control/slot_votes.py
@@ -1,4 +1,4 @@
-"""Votes of a control instance on which entries grant slots."""
+"""Votes of a control instance in the election of grantors."""
 
 import msgspec
 import trio
@@ -16,10 +16,10 @@
 
 
 def load(data: folder.DataFolder) -> dict[messages.PoolRegion, voter.VoteState]:
-    """Return the promises that the data folder holds.
+    """Return the promises stored in the data folder.
 
     Raises:
-        CorruptStorageError: when the record cannot be trusted.
+        CorruptStorageError: if the record is corrupt.
     """
     record = data.read(RECORD)
     if record is None:
@@ -31,12 +31,12 @@
 
 
 class SlotVotes:
-    """Answer claims; a vote that must not be forgotten is synced first.
+    """Votes on the claims of entries; stores a durable vote before sending it.
 
     Args:
-        me: This life of the control instance.
-        data: Where votes are kept.
-        gossip_service: Carries claims and votes.
+        me: This incarnation of the control instance.
+        data: Stores the votes.
+        gossip_service: Transports claims and votes.
     """
 
     def __init__(
@@ -50,20 +50,20 @@
         self._gossip = gossip_service
 
     async def run(self) -> None:
-        """Take in claims until cancelled."""
-        votes = voter.Voter(
+        """Process claims and resignations until cancelled."""
+        own_voter = voter.Voter(
             self._me, trio.current_time(), states=load(self._data)
         )
-        parcel: datagram_wire.ReceivedMessage
-        async for parcel in self._gossip.received_messages:
+        received: datagram_wire.ReceivedMessage
+        async for received in self._gossip.received_messages:
             now = trio.current_time()
-            if isinstance(parcel.message, messages.Claim):
-                vote = votes.vote(parcel.message, now)
-                if votes.changed:
+            if isinstance(received.message, messages.Claim):
+                vote = own_voter.vote(received.message, now)
+                if own_voter.changed:
                     record = msgspec.msgpack.encode(
-                        list(votes.durable().items())
+                        list(own_voter.durable().items())
                     )
                     self._data.write(RECORD, record)
-                self._gossip.post(parcel.message.candidate.name, vote)
-            elif isinstance(parcel.message, messages.Resign):
-                votes.resign(parcel.message, now)
+                self._gossip.post(received.message.candidate.name, vote)
+            elif isinstance(received.message, messages.Resign):
+                own_voter.resign(received.message, now)
--- a/hyssopfold/control/state_answers.py
+++ b/hyssopfold/control/state_answers.py
@@ -1,4 +1,4 @@
-"""Answers of a control instance about the durable state."""
+"""HTTP answers of a control instance about the durable state."""
 
 import functools
 from typing import NamedTuple
@@ -16,7 +16,18 @@
 
 
 class InstanceStatus(TypedDict):
-    """One control instance, as another sees it."""
+    """One control instance, as observed by another.
+
+    Attributes:
+        name: Its name.
+        address: Its RPC address.
+        incarnation: Random id of its data folder.
+        votes: Whether it is a voter without a fault.
+        heard: Whether the answering instance received a recent status from it.
+        revision: The newest revision that it has learned.
+        behind: Number of revisions that it is behind.
+        fault: Why it does not vote, or empty.
+    """
 
     name: str
     address: str
@@ -29,7 +40,18 @@
 
 
 class Status(TypedDict):
-    """The durable state's members and revision, as one instance sees them."""
+    """Members and revision of the durable state, as observed by an instance.
+
+    Attributes:
+        answered_by: Name of the answering instance.
+        confirmed: Whether a majority has just confirmed the revision.
+        revision: The newest revision that the instance has learned.
+        epoch: Number of membership changes so far.
+        cluster: Id of the cluster.
+        changing_members: Whether a membership change is in progress.
+        fault: Why the instance does not vote, or empty.
+        instances: The members and other control instances, by name.
+    """
 
     answered_by: str
     confirmed: bool
@@ -42,7 +64,7 @@
 
 
 class Backup(TypedDict):
-    """Everything that `hyssopctl restore` needs, and where it came from."""
+    """A backup of the state for `hyssopctl restore`, and its origin."""
 
     format: int
     revision: int
@@ -61,47 +83,49 @@
     state: str
 
 
-class _Seen(NamedTuple):
+class _Observed(NamedTuple):
     revision: int
-    heard: bool
+    is_status_recent: bool
     fault: str
 
 
-def describe(node: consensus_node.Node, confirmed: bool, now: float) -> Status:
-    """Return what `hyssopctl status` shows.
+def describe_cluster(
+    node: consensus_node.Node, confirmed: bool, now: float
+) -> Status:
+    """Return the status that `hyssopctl status` shows.
 
     Args:
         node: The member that answers.
-        confirmed: Whether a majority has confirmed the revision just now.
+        confirmed: Whether a majority has just confirmed the revision.
         now: Monotonic time in seconds.
     """
     register = node.learned
-    heard = {
+    recent = {
         status.member.id: status for status in node.peers.recent_statuses(now)
     }
     voters = {member.id: member for member in node.replica.register.voters()}
-    others = {i: s.member for i, s in heard.items() if i not in voters}
-    mine = node.replica.identity.member
-    if mine.id not in voters:
-        others[mine.id] = mine
-    shown = []
+    others = {i: s.member for i, s in recent.items() if i not in voters}
+    myself = node.replica.identity.member
+    if myself.id not in voters:
+        others[myself.id] = myself
+    instances = []
     for member_id, member in {**voters, **others}.items():
-        seen = _Seen(0, False, "not heard of")
-        if member_id == mine.id:
-            seen = _Seen(register.revision, True, node.fault)
-        elif member_id in heard:
-            status = heard[member_id]
-            seen = _Seen(status.revision, True, status.fault)
-        shown.append(
+        observed = _Observed(0, False, "no recent status received")
+        if member_id == myself.id:
+            observed = _Observed(register.revision, True, node.fault)
+        elif member_id in recent:
+            status = recent[member_id]
+            observed = _Observed(status.revision, True, status.fault)
+        instances.append(
             InstanceStatus(
                 name=member.name,
                 address=member.address,
                 incarnation=member.incarnation,
-                votes=member_id in voters and not seen.fault,
-                heard=seen.heard,
-                revision=seen.revision,
-                behind=max(0, register.revision - seen.revision),
-                fault=seen.fault,
+                votes=member_id in voters and not observed.fault,
+                heard=observed.is_status_recent,
+                revision=observed.revision,
+                behind=max(0, register.revision - observed.revision),
+                fault=observed.fault,
             )
         )
     return Status(
@@ -112,12 +136,20 @@
         cluster=register.cluster,
         changing_members=bool(node.replica.register.previous),
         fault=node.fault,
-        instances=sorted(shown, key=lambda one: one["name"]),
+        instances=sorted(instances, key=lambda instance: instance["name"]),
     )
 
 
 def backup(register: messages.Register, confirmed: bool) -> http.Answer:
-    """Return a register as a document that can be restored."""
+    """Return a register as a document that can be restored.
+
+    Args:
+        register: The register.
+        confirmed: Whether a majority has confirmed it.
+
+    Raises:
+        InvalidDocumentError: if its value is not a valid state.
+    """
     state.decode(register.value)
     body = Backup(
         format=BACKUP_FORMAT,
@@ -131,14 +163,19 @@
 
 
 def error_body(exc: errors.HyssopError) -> dict[str, object]:
-    """Return what an operator is told of an error."""
+    """Return the JSON body that reports an error to an operator."""
     return {"error": exc.kind, "summary": exc.summary, "remedy": exc.remedy}
 
 
 @functools.singledispatch
 def answer(result: messages.Result, change_id: str) -> http.Answer:
-    """Return the HTTP answer for the result of an operation."""
-    raise TypeError(f"no such result: {result!r}")
+    """Return the HTTP answer for the result of an operation.
+
+    Args:
+        result: The result.
+        change_id: Id of the edit, or name of the changed member.
+    """
+    raise TypeError(f"unknown result type: {result!r}")
 
 
 @answer.register
@@ -180,8 +217,13 @@
 
 @functools.singledispatch
 def order_answer(result: orders.Result, name: str) -> http.Answer:
-    """Return the HTTP answer for what became of an order."""
-    raise TypeError(f"no such result: {result!r}")
+    """Return the HTTP answer for the result of an order.
+
+    Args:
+        result: The result.
+        name: The failure domain of the order.
+    """
+    raise TypeError(f"unknown result type: {result!r}")
 
 
 @order_answer.register
--- a/hyssopfold/control_parts.py
+++ b/hyssopfold/control_parts.py
@@ -1,4 +1,4 @@
-"""The parts of a control instance, wired."""
+"""Composition root of a control instance."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -33,12 +33,20 @@
 
 
 class Control:
-    """The parts of a control instance, wired.
+    """Builds the parts of a control instance and connects them.
 
     Args:
         cfg: Its settings.
-        adapters: How it is spoken to.
-        data: Its data folder, open.
+        adapters: Build its HTTP applications.
+        data: Its open data folder.
+
+    Attributes:
+        cfg: Its settings.
+        rng: Source of random numbers of all parts.
+        shared: Keys, tokens, TLS and the watcher of their files.
+        gossip_service: Its gossip.
+        operators: The operators' API.
+        apps: The HTTP applications, by address.
     """
 
     def __init__(
@@ -58,8 +66,8 @@
             self._confirmations.age_s,
             self._confirmations.confirm,
         )
-        held = self._member.register
-        self._publisher.publish(held.revision, held.value)
+        register = self._member.register
+        self._publisher.publish(register.revision, register.value)
         self.gossip_service = gossip.Gossip(
             identity.myself(cfg, "control"),
             cfg.gossip_seeds,
@@ -67,14 +75,16 @@
             links.keyring,
             self.rng,
         )
-        self._kept = quarantine_records.QuarantineRecords(data, time.time)
-        self._crashes = crash_reports.CrashReports(
+        self._quarantine_records = quarantine_records.QuarantineRecords(
+            data, time.time
+        )
+        self._crash_reports = crash_reports.CrashReports(
             self.gossip_service,
             self.rng,
-            self._kept.schedule_write,
-            self._kept.load(),
+            self._quarantine_records.schedule_write,
+            self._quarantine_records.load(),
         )
-        self._votes = slot_votes.SlotVotes(
+        self._slot_votes = slot_votes.SlotVotes(
             identity.member(self.gossip_service.myself),
             data,
             self.gossip_service,
@@ -93,7 +103,7 @@
             self.shared.announcers,
         )
         self.apps: dict[str, http.App] = {
-            cfg.http_address: adapters.operators(self._outside())
+            cfg.http_address: adapters.operators(self._parts_for_adapters())
         }
         if cfg.metrics_address:
             self.apps[cfg.metrics_address] = self.operators
@@ -101,11 +111,13 @@
     def _open_member(self, data: folder.DataFolder) -> instance.Instance:
         cfg = self.cfg
         voter = cfg.name if cfg.control else cfg.rpc_address
-        kept = records.MemberRecords(data, voter, self.rng.getrandbits)
-        who, durable = kept.open(cfg.rpc_address)
-        register = node.Node(
-            who,
-            _listed(cfg),
+        member_records = records.MemberRecords(
+            data, voter, self.rng.getrandbits
+        )
+        member_identity, durable = member_records.open(cfg.rpc_address)
+        member = node.Node(
+            member_identity,
+            _endpoints(cfg),
             durable,
             self.rng,
             cfg.round_timeout_s,
@@ -115,9 +127,11 @@
             cfg.region,
         )
         connect = functools.partial(rpc.Client, cfg=self.shared.links)
-        return instance.Instance(register, kept, connect, cfg.edit_timeout_s)
+        return instance.Instance(
+            member, member_records, connect, cfg.edit_timeout_s
+        )
 
-    def _outside(self) -> control_adapters.ControlParts:
+    def _parts_for_adapters(self) -> control_adapters.ControlParts:
         return control_adapters.ControlParts(
             self.operators,
             self._member,
@@ -129,7 +143,7 @@
         )
 
     def children(self) -> list[Child]:
-        """Return the tasks of the control instance."""
+        """Return the tasks of the control instance, with their names."""
         handlers: dict[rpc.Method, rpc.Handler] = {
             consensus_wire.DELIVER: self._member.deliver,
             poll_wire.POLL: self._publisher.poll,
@@ -140,24 +154,24 @@
         return [
             ("member", self._member.run),
             ("gossip", self.gossip_service.run),
-            ("slot-votes", self._votes.run),
-            ("crash-reports", self._crashes.run),
-            ("quarantine-records", self._kept.run),
+            ("slot-votes", self._slot_votes.run),
+            ("crash-reports", self._crash_reports.run),
+            ("quarantine-records", self._quarantine_records.run),
             ("confirmations", self._confirmations.run),
             ("reloading", self.shared.reloader.run),
             ("rpc", serve),
         ]
 
 
-def _listed(cfg: settings.ControlSettings) -> list[messages.Endpoint]:
-    """Return the control instances to form with, or to find others through.
+def _endpoints(cfg: settings.ControlSettings) -> list[messages.Endpoint]:
+    """Return the control instances of the cluster to form, or the seeds.
 
-    Where they find each other, an instance is named by its address: that is
-    all that others know of it, and one that comes back there blank takes the
-    place of the one that was.
+    Instances that find each other through seeds are named by their address,
+    since others know nothing else of them. An instance that starts there with
+    an empty data folder replaces the previous one.
     """
     if cfg.control:
-        return [messages.Endpoint(*one) for one in cfg.control]
+        return [messages.Endpoint(*member) for member in cfg.control]
     return [
         messages.Endpoint(address, address) for address in cfg.control_seeds
     ]
--- a/tests/steps/control/client_steps.py
+++ b/tests/steps/control/client_steps.py
@@ -13,7 +13,7 @@
 from hyssopfold import errors
 from hyssopfold.control import client as control_client
 
-_PATIENCE_S = (0.3, 0.6)
+_READ_TIMEOUTS_S = (0.3, 0.6)
 
 _ANSWERS = {
     "accept": (200, {"revision": 1}),
@@ -76,7 +76,7 @@
 def _(context):
     client = control_client.Client(context.control_urls)
     body = {"change_id": "ana", "expect": 0, "tables": ""}
-    with mock.patch.object(control_client, "PATIENCE_S", _PATIENCE_S):
+    with mock.patch.object(control_client, "READ_TIMEOUTS_S", _READ_TIMEOUTS_S):
         try:
             reply = client.put("/hyssop/v1/tables", body)
         except errors.HyssopError as exc:
