--- a/tests/control/client.feature
+++ b/tests/control/client.feature
@@ -1,12 +1,12 @@
-Feature: hyssopctl asks one control instance after another
-  One control instance is frozen and another cut off while an operator applies
-  tables. The answer must come quickly from one that can settle it; and when none
-  can, the operator must hear whether the edit may still take effect.
+Feature: hyssopctl tries one control instance after another
+  One control instance is frozen and another one is cut off while an operator
+  applies tables. An instance that can settle the edit must answer it soon. If
+  there is none, hyssopctl must report whether the edit may still take effect.
 
   Scenario Outline: instances that <states>
     Given control instances that <states>
     When hyssopctl sends an edit to these control instances
-    Then hyssopctl says <outcome>
+    Then hyssopctl reports <outcome>
 
     Examples:
       | states                     | outcome        |
--- a/tests/control/instance.feature
+++ b/tests/control/instance.feature
@@ -1,29 +1,29 @@
-Feature: the task of a control instance
-  The disk of a control instance fills up in the middle of an edit. Told
-  "accepted", the operator would rely on an edit that is on no disk and is gone
-  with the next restart. What cannot be synced is told as unknown or refused,
-  and the instance votes again by itself once there is room.
+Feature: a control instance whose disk is full
+  The disk of a control instance fills up during an edit. If the operator got
+  "accepted", an edit that is on no disk would be lost by the next restart. The
+  outcome of an edit that can't be synced is reported as unknown or refused. The
+  instance votes again when there is space.
 
   Background:
-    Given a lone control instance on a disk that can be filled
+    Given a single control instance on a disk that can be filled
 
-  Scenario: a disk that fills up under an edit
-    When the lone instance takes edit "ana" on a full disk
-    Then the lone instance's answer to "ana" is no acceptance
-    And the lone instance's disk does not hold "ana"
+  Scenario: a disk that fills up during an edit
+    When the single instance gets edit "ana" on a full disk
+    Then the single instance does not answer "ana" as accepted
+    And the single instance's disk does not store "ana"
 
-  Scenario: refused at once while the disk is full
-    When the lone instance takes edit "ana" on a full disk
-    And the lone instance takes edit "bea" on a full disk
-    Then the lone instance's answer to "bea" is a certain refusal
+  Scenario: an edit is refused at once while the disk is full
+    When the single instance gets edit "ana" on a full disk
+    And the single instance gets edit "bea" on a full disk
+    Then the single instance answers "bea" as refused for certain
 
-  Scenario: votes again by itself once there is room
-    When the lone instance takes edit "ana" on a full disk
-    And the lone instance's disk has room for 6 s
-    And the lone instance takes edit "ana" on a good disk
-    Then the lone instance's answer to "ana" is acceptance
-    And the lone instance's disk holds "ana"
+  Scenario: the instance votes again when there is space
+    When the single instance gets edit "ana" on a full disk
+    And the single instance's disk has space for 6 s
+    And the single instance gets edit "ana" on a good disk
+    Then the single instance answers "ana" as accepted
+    And the single instance's disk stores "ana"
 
-  Scenario: a restart of its task tells what it never answered
-    When the lone instance's task dies while edit "ana" waits
-    Then the lone instance's answer to "ana" is unknown
+  Scenario: a failure of the task ends pending edits as unknown
+    When the single instance's task fails while edit "ana" is pending
+    Then the single instance answers "ana" as unknown
--- a/tests/control/quarantine_records.feature
+++ b/tests/control/quarantine_records.feature
@@ -1,27 +1,27 @@
-Feature: what is held back outlives a loss of power of all instances
+Feature: the quarantine survives a power failure of all instances
 
-  # Guards against relearning by more crashes what was known before.
+  # Guards against a loss of the reports, which more crashes would replace.
   Scenario Outline: all instances lose power <when> after the last crash
-    Given 13 instances of which 0.01 of the datagrams are lost, seeds 1 to 5
+    Given 13 instances that lose 0.01 of the datagrams, seeds 1 to 5
     And 3 of the instances have disks
-    When 3 servers crash under one request, seen at one instance
-    And <wait> s later all instances lose power and start anew
-    Then 2.5 s later all of them hold it back
+    When 3 servers crash under one request, observed at one instance
+    And <wait> s later all instances lose power and restart
+    Then 2.5 s later all instances block the request
 
     Examples:
       | when          | wait |
       | just          | 2    |
       | half a minute | 30   |
 
-  # Guards against a quarantine that each restart makes longer.
-  Scenario: the time of a quarantine goes on while the power is off
+  # Guards against a quarantine that each restart prolongs.
+  Scenario: the age of a crash includes the time without power
     Given a quarantine record that was written 100 s ago, 20 s after a crash
     When the record is read
     Then the crash is 120 s ago
 
-  # Guards against control instances that do not start for a lost quarantine.
-  Scenario: a quarantine record that cannot be read is left out
+  # Guards against control instances that don't start after a quarantine is lost.
+  Scenario: a corrupt quarantine record is ignored
     Given a quarantine record that was written 100 s ago, 20 s after a crash
-    When the record rots
+    When the record is corrupted
     And the record is read
-    Then there is nothing in it
+    Then no reports are read
--- a/tests/control/round_trip.feature
+++ b/tests/control/round_trip.feature
@@ -1,7 +1,7 @@
-Feature: what an operator gets, she can apply again
+Feature: printed tables can be applied again
   An operator prints the tables, edits a row and applies the file. While a
-  failure domain was evacuated the file was refused: it named the evacuation,
-  which is no part of the tables.
+  failure domain was evacuated the file was refused, since it contained the
+  evacuation, which is not part of the tables.
 
   Scenario Outline: tables <what> are applied as they were printed
     Given a state with tables <what>
--- a/tests/steps/control/client_steps.py
+++ b/tests/steps/control/client_steps.py
@@ -48,7 +48,7 @@
     sock = socket.socket()
     sock.bind(("127.0.0.1", 0))
     if answering:
-        # The kernel takes connections; nobody ever reads them.
+        # The kernel accepts connections, but nothing reads from them.
         sock.listen()
     context.add_cleanup(sock.close)
     return sock.getsockname()[1]
@@ -86,6 +86,6 @@
     context.control_outcome = outcomes[reply.status]
 
 
-@then("hyssopctl says {outcome}")
+@then("hyssopctl reports {outcome}")
 def _(context, outcome):
     assert context.control_outcome == outcome, context.control_outcome
--- a/tests/steps/control/instance_steps.py
+++ b/tests/steps/control/instance_steps.py
@@ -44,28 +44,30 @@
     call(*values)
 
 
-@given("a lone control instance on a disk that can be filled")
+@given("a single control instance on a disk that can be filled")
 def _(context):
     endpoint = messages.Endpoint("control-1", "127.0.0.1:1")
     member = messages.Member(*endpoint, "i1")
     identity = messages.Identity(member, 1, "n1")
-    held = node.Node(identity, [endpoint], node.BLANK, random.Random(1))
-    context.lone_records = _Records()
-    context.lone = control_instance.Instance(
-        held, context.lone_records, None, run_blocking=_run_directly
+    consensus_node = node.Node(
+        identity, [endpoint], node.BLANK, random.Random(1)
     )
-    context.lone_answers = {}
-    context.lone_plan = []
+    context.single_records = _Records()
+    context.single = control_instance.Instance(
+        consensus_node, context.single_records, None, run_blocking=_run_directly
+    )
+    context.single_answers = {}
+    context.single_plan = []
 
 
-def _run(context, use):
-    """Run the instance in virtual time while `use` runs."""
+def _run(context, execute_plan):
+    """Run the instance in virtual time while `execute_plan` runs."""
 
     async def main():
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(context.lone.run)
+            nursery.start_soon(context.single.run)
             await trio.sleep(1)
-            await use()
+            await execute_plan()
             nursery.cancel_scope.cancel()
 
     clock = trio.testing.MockClock(autojump_threshold=0)
@@ -73,93 +75,93 @@
 
 
 async def _edit(context, change_id):
-    expect = context.lone.register.revision
-    answer = await context.lone.edit(change_id, expect, b"value")
-    context.lone_answers[change_id] = answer
+    expect = context.single.register.revision
+    answer = await context.single.edit(change_id, expect, b"value")
+    context.single_answers[change_id] = answer
 
 
-async def _carry(context, plan):
+async def _execute(context, plan):
     for step, value in plan:
         match step:
             case "edit":
                 await _edit(context, value)
             case "full":
-                context.lone_records.full = value
+                context.single_records.full = value
             case "wait":
                 await trio.sleep(value)
 
 
 def _plan(context, *steps):
-    context.lone_plan = [*context.lone_plan, *steps]
+    context.single_plan = [*context.single_plan, *steps]
 
 
-@when('the lone instance takes edit "{change_id}" on a full disk')
+@when('the single instance gets edit "{change_id}" on a full disk')
 def _(context, change_id):
     _plan(context, ("full", True), ("edit", change_id))
 
 
-@when('the lone instance takes edit "{change_id}" on a good disk')
+@when('the single instance gets edit "{change_id}" on a good disk')
 def _(context, change_id):
     _plan(context, ("full", False), ("edit", change_id))
 
 
-@when("the lone instance's disk has room for {seconds:d} s")
+@when("the single instance's disk has space for {seconds:d} s")
 def _(context, seconds):
     _plan(context, ("full", False), ("wait", seconds))
 
 
-@when('the lone instance\'s task dies while edit "{change_id}" waits')
+@when('the single instance\'s task fails while edit "{change_id}" is pending')
 def _(context, change_id):
     async def main():
         async with trio.open_nursery() as nursery:
             nursery.start_soon(_edit, context, change_id)
             await trio.testing.wait_all_tasks_blocked()
             with trio.move_on_after(0.0):
-                await context.lone.run()
+                await context.single.run()
 
     clock = trio.testing.MockClock(autojump_threshold=0)
     trio.run(main, clock=clock)
 
 
 def _answer(context, change_id):
-    plan, context.lone_plan = context.lone_plan, []
+    plan, context.single_plan = context.single_plan, []
     if plan:
-        _run(context, lambda: _carry(context, plan))
-    return context.lone_answers[change_id]
+        _run(context, lambda: _execute(context, plan))
+    return context.single_answers[change_id]
 
 
-@then('the lone instance\'s answer to "{change_id}" is acceptance')
+@then('the single instance answers "{change_id}" as accepted')
 def _(context, change_id):
     answer = _answer(context, change_id)
     assert answer == messages.EditAccepted(1), answer
 
 
-@then('the lone instance\'s answer to "{change_id}" is no acceptance')
+@then('the single instance does not answer "{change_id}" as accepted')
 def _(context, change_id):
     answer = _answer(context, change_id)
     kinds = (messages.EditNotAccepted, messages.OutcomeUnknown)
     assert isinstance(answer, kinds), answer
 
 
-@then('the lone instance\'s answer to "{change_id}" is a certain refusal')
+@then('the single instance answers "{change_id}" as refused for certain')
 def _(context, change_id):
     answer = _answer(context, change_id)
     assert isinstance(answer, messages.EditNotAccepted), answer
     assert "its disk refuses writes" in answer.reason, answer
 
 
-@then('the lone instance\'s answer to "{change_id}" is unknown')
+@then('the single instance answers "{change_id}" as unknown')
 def _(context, change_id):
     assert _answer(context, change_id) == messages.OutcomeUnknown()
 
 
-@then('the lone instance\'s disk holds "{change_id}"')
+@then('the single instance\'s disk stores "{change_id}"')
 def _(context, change_id):
-    held = context.lone_records.register
-    assert held.accepted_change(change_id) is not None
+    register = context.single_records.register
+    assert register.accepted_change(change_id) is not None
 
 
-@then('the lone instance\'s disk does not hold "{change_id}"')
+@then('the single instance\'s disk does not store "{change_id}"')
 def _(context, change_id):
-    held = context.lone_records.register
-    assert held.accepted_change(change_id) is None
+    register = context.single_records.register
+    assert register.accepted_change(change_id) is None
--- a/tests/steps/control/orders_steps.py
+++ b/tests/steps/control/orders_steps.py
@@ -21,7 +21,7 @@
 
 
 class _Records:
-    """Records that are kept nowhere: the member does not restart."""
+    """Records that are not stored, since the member does not restart."""
 
     def save_promise(self, promised):
         pass
@@ -36,8 +36,8 @@
         pass
 
 
-class _Nobody:
-    """A client to a peer that never answers."""
+class _SilentClient:
+    """A client of a peer that never answers."""
 
     async def call(self, method, req, timeout_s):
         await trio.sleep(timeout_s)
@@ -50,26 +50,31 @@
 
 
 def _member(context, peers):
-    listed = [
+    endpoints = [
         messages.Endpoint(f"control-{n}", f"127.0.0.1:{n}")
         for n in range(1, peers + 2)
     ]
-    member = messages.Member(*listed[0], "i1")
+    member = messages.Member(*endpoints[0], "i1")
     identity = messages.Identity(member, 1, "n1")
-    held = node.Node(identity, listed, node.BLANK, random.Random(1))
-    context.ordering = control_instance.Instance(
-        held, _Records(), lambda _: _Nobody(), run_blocking=_run_directly
+    consensus_node = node.Node(
+        identity, endpoints, node.BLANK, random.Random(1)
+    )
+    context.order_instance = control_instance.Instance(
+        consensus_node,
+        _Records(),
+        lambda _: _SilentClient(),
+        run_blocking=_run_directly,
     )
     context.order_calls = []
     context.order_results = []
 
 
-@given("a lone member that takes orders")
+@given("a single member that executes orders")
 def _(context):
     _member(context, 0)
 
 
-@given("a member that takes orders and whose peers are lost")
+@given("a member that executes orders and whose peers are lost")
 def _(context):
     _member(context, 2)
 
@@ -105,25 +110,25 @@
         context.order_calls.append([(f"e{number}", kind(domain))])
 
 
-def _play(context):
-    """Carry the orders out, one call after another, in virtual time."""
+def _execute_orders(context):
+    """Execute the orders, one call after another, in virtual time."""
     if context.order_results:
         return
 
     async def main():
-        taker = control_orders.Orders(context.ordering)
+        executor = control_orders.Orders(context.order_instance)
 
         async def execute(name, order):
-            result = await taker.execute(name, order)
+            result = await executor.execute(name, order)
             context.order_results.append(result)
 
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(context.ordering.run)
+            nursery.start_soon(context.order_instance.run)
             await trio.sleep(1)
             for call in context.order_calls:
-                async with trio.open_nursery() as together:
+                async with trio.open_nursery() as call_nursery:
                     for name, order in call:
-                        together.start_soon(execute, name, order)
+                        call_nursery.start_soon(execute, name, order)
             nursery.cancel_scope.cancel()
 
     clock = trio.testing.MockClock(autojump_threshold=0)
@@ -132,29 +137,29 @@
 
 @then("the orders' results are {names}")
 def _(context, names):
-    _play(context)
-    found = [type(one).__name__ for one in context.order_results]
-    assert found == names.split(", "), context.order_results
+    _execute_orders(context)
+    kinds = [type(result).__name__ for result in context.order_results]
+    assert kinds == names.split(", "), context.order_results
 
 
-@then("one of the two was accepted and the other is a conflict")
+@then("one of the two is accepted and the other is a conflict")
 def _(context):
-    _play(context)
-    kinds = {type(one).__name__: one for one in context.order_results}
+    _execute_orders(context)
+    kinds = {type(result).__name__: result for result in context.order_results}
     assert set(kinds) == {"Accepted", "Rejected"}, kinds
     error = kinds["Rejected"].error
     assert isinstance(error, errors.VersionConflictError), error
 
 
-def _held(context):
-    return state.decode(context.ordering.register.value)
+def _state(context):
+    return state.decode(context.order_instance.register.value)
 
 
-@then("version {version:d} is in force by orders")
+@then("version {version:d} is in force after the orders")
 def _(context, version):
-    assert _held(context).version == version
+    assert _state(context).version == version
 
 
 @then('the orders leave "{domain}" evacuated')
 def _(context, domain):
-    assert _held(context).evacuated == (domain,)
+    assert _state(context).evacuated == (domain,)
--- a/tests/steps/control/outboxes_steps.py
+++ b/tests/steps/control/outboxes_steps.py
@@ -13,7 +13,7 @@
 
 
 class _Client:
-    """Counts the messages that leave."""
+    """Counts the sent messages."""
 
     def __init__(self):
         self.calls = 0
@@ -39,12 +39,12 @@
     context.outboxes.send(_TO, messages.Prepare(messages.Ballot(1, "i1"), "c"))
 
 
-@when("a message is sent to an instance that was never sent any")
+@when("a message is sent to an instance without an outbox")
 def _(context):
     _send(context)
 
 
-@then("it is lost, and the next one leaves once the senders run again")
+@then("it is dropped, and the next one is sent when the senders run again")
 def _(context):
     async def main():
         async with context.outboxes.running():
--- a/tests/steps/control/quarantine_records_steps.py
+++ b/tests/steps/control/quarantine_records_steps.py
@@ -18,9 +18,9 @@
 def _make_folder(context):
     path = tempfile.mkdtemp()
     context.add_cleanup(shutil.rmtree, path)
-    made = folder.DataFolder(path)
-    context.add_cleanup(made.close)
-    return made
+    data = folder.DataFolder(path)
+    context.add_cleanup(data.close)
+    return data
 
 
 @given("{count:d} of the instances have disks")
@@ -35,7 +35,7 @@
     context.script.append(step)
 
 
-@when("{wait:g} s later all instances lose power and start anew")
+@when("{wait:g} s later all instances lose power and restart")
 def _(context, wait):
     async def step(network, nursery):
         await trio.sleep(wait)
@@ -60,16 +60,16 @@
 def _(context, ago, age):
     clock = _Clock()
     context.data = _make_folder(context)
-    context.kept = quarantine_records.QuarantineRecords(context.data, clock)
+    context.records = quarantine_records.QuarantineRecords(context.data, clock)
 
     async def write():
         table = quarantine.Quarantine("c1")
         now = trio.current_time()
         table.record_crash(_REQUEST, 1, now - age)
         table.record_crash(_REQUEST, 2, now - age)
-        context.kept.schedule_write(table)
+        context.records.schedule_write(table)
         with trio.move_on_after(2 * quarantine_records.BATCH_S):
-            await context.kept.run()
+            await context.records.run()
 
     trio.run(write)
     clock.now += ago
@@ -77,10 +77,10 @@
 
 @when("the record is read")
 def _(context):
-    context.read = context.kept.load()
+    context.read = context.records.load()
 
 
-@when("the record rots")
+@when("the record is corrupted")
 def _(context):
     path = context.data.path / quarantine_records.RECORD
     data = bytearray(path.read_bytes())
@@ -92,10 +92,10 @@
 def _(context, age):
     (report,) = context.read
     assert report.crashed == (1, 2)
-    # The record is written some tenths of a second after the crash is told.
+    # The record is written some tenths of a second after the crash report.
     assert abs(report.age_s - age) < 1, report
 
 
-@then("there is nothing in it")
+@then("no reports are read")
 def _(context):
     assert context.read == ()
--- a/tests/steps/control/round_trip_steps.py
+++ b/tests/steps/control/round_trip_steps.py
@@ -1,4 +1,4 @@
-"""Steps of round_trip.feature."""
+"""Steps of control/round_trip.feature."""
 
 from behave import given
 from behave import then
@@ -25,22 +25,22 @@
 
 @given("a state with tables {what}")
 def _(context, what):
-    held = state.State(tables.parse(_TABLES))
+    current = state.State(tables.parse(_TABLES))
     if "evacuations" in what:
-        held = held._replace(evacuated=("dar-1", "west-2"))
+        current = current._replace(evacuated=("dar-1", "west-2"))
     if "shifts" in what:
         edited = tables.parse(_TABLES.replace("[west]", "[]"))
-        held = plans.after_edit(held, edited, 1000.0)
-        assert held.shifts
-    context.round_state = held
+        current = plans.after_edit(current, edited, 1000.0)
+        assert current.shifts
+    context.round_state = current
 
 
 @when("its tables are printed by hyssopctl and read back")
 def _(context):
-    # As the control instance's answer to `GET /hyssop/v1/tables`.
-    held = context.round_state
-    body = {"revision": 7, **tables.to_plain(held.tables)}
-    body["evacuated"] = held.evacuated
+    # The body of a control instance's answer to `GET /hyssop/v1/tables`.
+    current = context.round_state
+    body = {"revision": 7, **tables.to_plain(current.tables)}
+    body["evacuated"] = current.evacuated
     answer = msgspec.json.decode(msgspec.json.encode(body))
     context.round_printed = ctl._shown(answer)
     context.round_read = tables.parse(context.round_printed)
@@ -53,8 +53,8 @@
 
 @then("an edit of them leaves the state's evacuations in force")
 def _(context):
-    held = context.round_state
-    after = plans.after_edit(held, context.round_read, 2000.0)
-    assert after.evacuated == held.evacuated, after
-    for domain in held.evacuated:
+    current = context.round_state
+    after = plans.after_edit(current, context.round_read, 2000.0)
+    assert after.evacuated == current.evacuated, after
+    for domain in current.evacuated:
         assert f"evacuated: {domain}" in context.round_printed
--- a/tests/steps/transport/crash_reports_steps.py
+++ b/tests/steps/transport/crash_reports_steps.py
@@ -12,25 +12,25 @@
 
 
 @given(
-    "{count:d} instances of which {lost:g} of the datagrams are lost, seeds 1"
-    " to {seeds:d}"
+    "{count:d} instances that lose {lost:g} of the datagrams, seeds 1 to"
+    " {seeds:d}"
 )
 def _(context, count, lost, seeds):
     context.networks = [(count, lost, seed + 1) for seed in range(seeds)]
     context.script = []
 
 
-def _play(context, check):
-    """Carry out the listed steps on each network, then check it."""
-    for chosen in context.networks:
+def _run_script(context, check):
+    """Run the script on each network, then check it."""
+    for parameters in context.networks:
         trio.run(
-            _run, chosen, context.script, check,
+            _run, parameters, context.script, check,
             clock=trio.testing.MockClock(autojump_threshold=0),
         )  # fmt: skip
 
 
-async def _run(chosen, script, check):
-    network = fake_reports.Network(*chosen)
+async def _run(parameters, script, check):
+    network = fake_reports.Network(*parameters)
     async with trio.open_nursery() as nursery:
         network.start_all(nursery)
         for step in script:
@@ -39,41 +39,41 @@
         nursery.cancel_scope.cancel()
 
 
-@when("{crashes:d} servers crash under one request, seen at {where}")
+@when("{crashes:d} servers crash under one request, observed at {where}")
 def _(context, crashes, where):
     async def step(network, nursery):
         names = list(network.reports)
         for number in range(crashes):
-            seen_at = names[number if where == "three of them" else 0]
-            network.crash(seen_at, number, _REQUEST)
+            observer = names[number if where == "three instances" else 0]
+            network.crash(observer, number, _REQUEST)
             await trio.sleep(0.1)
 
     context.script.append(step)
 
 
-@when("{seconds:g} s later one instance starts anew")
+@when("{seconds:g} s later one instance restarts")
 def _(context, seconds):
     async def step(network, nursery):
         await trio.sleep(seconds)
-        # The former life goes on, unheard: its messages come from nobody.
+        # The previous incarnation still runs, but receives no messages.
         network.start(list(network.reports)[5], nursery)
 
     context.script.append(step)
 
 
-@when("one instance is cut off")
+@when("one instance is partitioned from the others")
 def _(context):
     async def step(network, nursery):
-        network.cut = {list(network.reports)[5]}
+        network.partitioned = {list(network.reports)[5]}
 
     context.script.append(step)
 
 
-@when("{seconds:g} s later the cut heals")
+@when("{seconds:g} s later the partition ends")
 def _(context, seconds):
     async def step(network, nursery):
         await trio.sleep(seconds)
-        network.cut = set()
+        network.partitioned = set()
 
     context.script.append(step)
 
@@ -89,15 +89,15 @@
     context.script.append(step)
 
 
-@then("{seconds:g} s later all of them hold it back")
+@then("{seconds:g} s later all instances block the request")
 def _(context, seconds):
     async def check(network):
         await trio.sleep(seconds)
-        holding = network.holding(_REQUEST)
-        missing = set(network.reports) - set(holding)
+        blocking = network.blocking(_REQUEST)
+        missing = set(network.reports) - set(blocking)
         assert not missing, missing
 
-    _play(context, check)
+    _run_script(context, check)
 
 
 @then("reports of them take at most {most:g} KB in {seconds:g} s")
@@ -106,4 +106,4 @@
         await trio.sleep(seconds)
         assert network.reported_bytes <= most * 1000, network.reported_bytes
 
-    _play(context, check)
+    _run_script(context, check)
--- a/tests/steps/transport/gossip_steps.py
+++ b/tests/steps/transport/gossip_steps.py
@@ -22,7 +22,7 @@
 )
 
 
-def _word(name, address):
+def _instance(name, address):
     return messages.Instance(
         name, "entry", "127.0.0.1:80", address, "dar", "dar-1", "ready", 1, 1,
         0, 0.0,
@@ -33,90 +33,95 @@
 def _(context, count):
     names = [f"e{number}" for number in range(count)]
     addresses = {name: loopback.free_address(2) for name in names}
-    context.words = [_word(name, addresses[name]) for name in names]
-    context.strange = None
+    context.instances = [_instance(name, addresses[name]) for name in names]
+    context.datagram = None
 
 
-@when("another one tells them {what}")
+@when("another instance sends them {what}")
 def _(context, what):
     address = {
-        "an address that is none": "nowhere",
+        "an invalid address": "nowhere",
         "an address without a port": "127.0.0.1:",
     }.get(what, "127.0.0.1:9")
-    word = _word("e9", address)
-    context.strange = messages.Datagram("e9", 0, (word,), ())
-    context.fails = what.startswith("what the receiver")
+    sender = _instance("e9", address)
+    context.datagram = messages.Datagram("e9", 0, (sender,), ())
+    context.fails = what.startswith("a datagram whose")
 
 
 @when("a server announces itself to one of them")
 def _(context):
-    context.known_after_s = math.inf
+    context.received_after_s = math.inf
     context.ended = trio.run(_run, context)
 
 
-@then("the other one knows the server within {seconds:g} s")
+@then("the other one has a record of the server within {seconds:g} s")
 def _(context, seconds):
-    assert context.known_after_s <= seconds
+    assert context.received_after_s <= seconds
 
 
-@then("the task of neither has ended")
+@then("neither gossip task has ended")
 def _(context):
     assert not context.ended, context.ended
 
 
 async def _run(context):
-    """Let the instances gossip; return what ended one of their tasks."""
+    """Run gossip of the instances; return the errors that ended a task."""
     ended = []
-    made = [
+    services = [
         gossip.Gossip(
-            word,
-            tuple(one.gossip_address for one in context.words if one != word),
+            instance,
+            tuple(
+                other.gossip_address
+                for other in context.instances
+                if other != instance
+            ),
             _LEASE_S,
             _KEYRING,
             random.Random(1),
         )
-        for word in context.words
+        for instance in context.instances
     ]
 
-    async def run(one):
+    async def run(service):
         try:
-            await one.run()
+            await service.run()
         except Exception as exc:  # noqa: BLE001
             ended.append(exc)
 
     with trio.move_on_after(10):
         async with trio.open_nursery() as nursery:
-            for one in made:
-                nursery.start_soon(run, one)
+            for service in services:
+                nursery.start_soon(run, service)
             await trio.sleep(1)
-            _tell_strange(context, made)
+            _send_datagram(context, services)
             await trio.sleep(1)
             began = trio.current_time()
-            made[0].announce(_SERVER)
-            while made[1].directory.servers.get("s1") is None:
+            services[0].announce(_SERVER)
+            while services[1].directory.servers.get("s1") is None:
                 await trio.sleep(0.05)
-            context.known_after_s = trio.current_time() - began
+            context.received_after_s = trio.current_time() - began
             nursery.cancel_scope.cancel()
     return ended
 
 
-def _tell_strange(context, made):
+def _send_datagram(context, services):
     if context.fails:
-        for one in made:
-            _fail_once(one)
-    data = datagram_wire.encode(context.strange)[0]
+        for service in services:
+            _make_receipt_fail(service)
+    data = datagram_wire.encode(context.datagram)[0]
     with socket.socket(type=socket.SOCK_DGRAM) as sock:
-        for word in context.words:
-            host, port = word.gossip_address.split(":")
+        for instance in context.instances:
+            host, port = instance.gossip_address.split(":")
             sock.sendto(_KEYRING.seal("Datagram", data), (host, int(port)))
 
 
-def _fail_once(one):
-    take_in = one._protocol.receive
+def _make_receipt_fail(service):
+    """Make the receipt of a datagram of "e9" fail."""
+    original_receive = service._protocol.receive
 
     def receive(datagram, now):
         if datagram.sender == "e9":
-            raise LookupError("a field that no one expected")
-        return take_in(datagram, now)
+            raise LookupError("unexpected field")
+        return original_receive(datagram, now)
 
-    one._protocol.receive = receive
+    service._protocol.receive = receive
--- a/tests/transport/crash_reports_late.feature
+++ b/tests/transport/crash_reports_late.feature
@@ -1,19 +1,19 @@
-Feature: instances learn late which requests crash servers
+Feature: instances receive missed reports of requests that crash servers
 
-  # Guards against a restarted entry that knows of no request yet.
-  Scenario: an instance that starts learns what the others hold back
-    Given 13 instances of which 0.3 of the datagrams are lost, seeds 1 to 20
-    When 3 servers crash under one request, seen at one instance
-    And 30 s later one instance starts anew
-    Then 2.5 s later all of them hold it back
+  # Guards against a restarted entry that has no reports yet.
+  Scenario: a restarted instance blocks the requests that the others block
+    Given 13 instances that lose 0.3 of the datagrams, seeds 1 to 20
+    When 3 servers crash under one request, observed at one instance
+    And 30 s later one instance restarts
+    Then 2.5 s later all instances block the request
 
-  # Guards against an entry that was cut off while others learned.
-  Scenario Outline: an instance that was cut off learns what the others hold back
-    Given 13 instances of which <lost> of the datagrams are lost, seeds 1 to 20
-    When one instance is cut off
-    And 3 servers crash under one request, seen at one instance
-    And 30 s later the cut heals
-    Then <soon> s later all of them hold it back
+  # Guards against an entry that was partitioned when the others got reports.
+  Scenario Outline: an instance receives reports after a partition
+    Given 13 instances that lose <lost> of the datagrams, seeds 1 to 20
+    When one instance is partitioned from the others
+    And 3 servers crash under one request, observed at one instance
+    And 30 s later the partition ends
+    Then <soon> s later all instances block the request
 
     Examples:
       | lost | soon |
--- a/tests/transport/gossip.feature
+++ b/tests/transport/gossip.feature
@@ -1,15 +1,16 @@
-Feature: gossip that outlives what it cannot handle
+Feature: gossip continues after a datagram that cannot be processed
 
-  # Guards against one word that ends every instance that it is told to.
-  Scenario Outline: an instance tells <what>
+  # Guards against one announcement that ends the gossip task of each instance
+  # that receives it.
+  Scenario Outline: an instance sends <what>
     Given 2 instances that gossip on loopback
-    When another one tells them <what>
+    When another instance sends them <what>
     And a server announces itself to one of them
-    Then the other one knows the server within 5 s
-    And the task of neither has ended
+    Then the other one has a record of the server within 5 s
+    And neither gossip task has ended
 
     Examples:
-      | what                               |
-      | an address that is none            |
-      | an address without a port          |
-      | what the receiver fails to take in |
+      | what                             |
+      | an invalid address               |
+      | an address without a port        |
+      | a datagram whose receipt fails   |
--- a/tests/transport/rpc.feature
+++ b/tests/transport/rpc.feature
@@ -1,50 +1,50 @@
-Feature: links between our processes
-  A firewall forgets a connection: both ends hold it for open, what is sent
-  vanishes, and the next edit or revision would wait on it for ever. Peers may
-  also freeze, run another version, or send what is no message at all.
+Feature: gRPC calls between instances
+  A firewall drops the state of a connection: both ends consider it open, all
+  packets are lost, and the next edit or poll would wait on it forever. Peers
+  may also freeze, run another version, or send invalid messages.
 
-  Scenario: a connection goes silent and new ones work
-    When a link goes silent under a held call and a short one
-    Then the short link call failed by its deadline and the next one was answered
-    And the held link call was ended by the heartbeat
+  Scenario: new connections work after a connection goes silent
+    When a connection goes silent under a long RPC and a short one
+    Then the short RPC fails by its deadline and the next one is answered
+    And the long RPC is ended by the heartbeat
 
-  Scenario: one slow call does not cost the others their connection
-    When a link call times out while others are answered
-    Then all other link calls were answered over one connection
+  Scenario: a slow call does not close the connection of other calls
+    When an RPC times out while others are answered
+    Then all other RPCs are answered over one connection
 
-  Scenario: a connection that was given up still brings what it owes
-    When a link call times out with no other answer since, beside a held one
-    Then the held link call is answered and the next call has a new connection
+  Scenario: calls on a replaced connection are still answered
+    When an RPC times out without any other answer, while another one is pending
+    Then the pending RPC is answered and the next one has a new connection
 
   Scenario: garbage, oversized and malformed messages
-    When a link server gets garbage, an oversized and a malformed message
-    Then each sender was dropped and logged and others are served on
+    When an RPC server receives garbage, an oversized and a malformed message
+    Then each sender is disconnected and logged and others are still served
 
   Scenario: an oversized answer
-    When a link server answers with more than the limit
-    Then the link call failed and the next one was answered
+    When an RPC server answers with more than the limit
+    Then the RPC fails and the next one is answered
 
-  Scenario: more calls than a link takes
-    When more link calls are made than the bound
-    Then the link calls above the bound were refused at once
+  Scenario: more calls than a client allows
+    When more RPCs are made than the limit
+    Then the RPCs above the limit are refused at once
 
-  Scenario: no one listens
-    When a link calls an address where no one listens, many times
-    Then only a few connections were tried
+  Scenario: no server on the address
+    When an address without a server gets many RPCs
+    Then only a few connections are attempted
 
   Scenario: an older and a newer program
-    When link messages with fewer and with more fields are exchanged
-    Then what is missing took its default and what is new was passed over
-    And a link call that an older program does not know keeps its connection
+    When RPC messages with fewer and with more fields are exchanged
+    Then missing fields get their defaults and new fields are ignored
+    And an RPC unknown to an older program keeps the connection
 
-  Scenario: keys are rotated without a stop
-    When keys of both link ends are rotated one after the other during calls
-    Then every link call was answered
+  Scenario: keys are rotated without interruption
+    When the keys of both ends are rotated one after the other during RPCs
+    Then every RPC is answered
 
   Scenario: a peer without our key
-    When a link is called with another key and without a key
-    Then neither link call reached the handler
+    When RPCs are made with another key and without a key
+    Then neither RPC reaches the handler
 
   Scenario: an error inside the asyncio loop
-    When a callback of the links' asyncio loop fails and a channel is dropped
-    Then both link errors are logged and calls are answered
+    When a callback of the asyncio loop of RPCs fails and a channel is dropped
+    Then both asyncio errors are logged and RPCs are answered
