--- a/hyssopfold/control/state_answers.py
+++ b/hyssopfold/control/state_answers.py
@@ -238,7 +238,9 @@
 
 @order_answer.register
 def _(result: orders.Elsewhere, name: str) -> http.Answer:
-    reason = f"{result.address} decides; this control instance does not vote"
+    reason = (
+        f"{result.address} executes orders; this control instance does not vote"
+    )
     return answer(messages.EditNotAccepted(reason), name)
 
 
--- a/hyssopfold/transport/auth.py
+++ b/hyssopfold/transport/auth.py
@@ -138,7 +138,9 @@
         """
         if not sealed or sealed[0] != _MARK:
             if self._keys and self._required:
-                raise UnauthenticatedError("not sealed; give the peer our key")
+                raise UnauthenticatedError(
+                    "message is not sealed; configure our key at the peer"
+                )
             return sealed
         if len(sealed) < OVERHEAD_BYTES:
             raise UnauthenticatedError("truncated message")
--- a/hyssopfold/transport/gossip.py
+++ b/hyssopfold/transport/gossip.py
@@ -91,7 +91,7 @@
             trio.open_memory_channel[datagram_wire.ReceivedMessage](_QUEUE)
         )
         # Gossip addresses by instance. They are kept beyond the end of a lease,
-        # since a silent instance may still be reachable.
+        # since an expired instance may still be reachable.
         self._addresses: dict[str, str] = {}
         self._has_news = trio.Event()
         self._traffic_counter = traffic_counter.TrafficCounter(
--- a/tests/steps/control/orders_steps.py
+++ b/tests/steps/control/orders_steps.py
@@ -90,10 +90,13 @@
 
 
 @when(
-    'orders "{one}" and "{two}" put versions {first:d} and {second:d} on base {base:d} at once'
+    'orders "{name}" and "{other_name}" put versions {first:d} and {second:d} on base {base:d} at once'
 )
-def _(context, one, two, first, second, base):
-    both = [(one, _edit(first, base)), (two, _edit(second, base))]
+def _(context, name, other_name, first, second, base):
+    both = [
+        (name, _edit(first, base)),
+        (other_name, _edit(second, base)),
+    ]
     context.order_calls.append(both)
 
 
