--- a/bench/capacity/membership.py
+++ b/bench/capacity/membership.py
@@ -12,8 +12,8 @@
 from bench.capacity import slopes
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import effects as effects_module
+from hyssopfold.core.membership import gossip_protocol
 from hyssopfold.core.membership import messages
-from hyssopfold.core.membership import spread
 from hyssopfold.transport import datagram_wire
 
 COMMAND = "python -m bench.capacity.membership"
@@ -85,16 +85,18 @@
             _server(number, self.instances[number % size].name)
             for number in range(size * SERVERS_PER_NODE)
         ]
-        self.nodes: dict[str, spread.Spread] = {}
+        self.nodes: dict[str, gossip_protocol.GossipProtocol] = {}
         for me in self.instances:
             self.nodes[me.gossip_address] = self.start(me)
 
-    def start(self, me: messages.Instance) -> spread.Spread:
+    def start(self, me: messages.Instance) -> gossip_protocol.GossipProtocol:
         """Return a node that knows everything."""
         seeds = [one.gossip_address for one in self.instances[:3]]
         rng = random.Random(me.name)
         known = directory.Directory(LEASE_S)
-        node = spread.Spread(me, seeds, known, LEASE_S, rng, 0.0)
+        node = gossip_protocol.GossipProtocol(
+            me, seeds, known, LEASE_S, rng, 0.0
+        )
         for server in self.servers:
             if server.monitor == me.name:
                 node.announce(server._replace(monitor=""), 0.0)
@@ -108,7 +110,7 @@
     def period(self) -> None:
         """Let every node and server speak once, and deliver it all."""
         queue = []
-        if round(self.now / spread.PERIOD_S) % 2 == 0:
+        if round(self.now / gossip_protocol.PERIOD_S) % 2 == 0:
             for number, server in enumerate(self.servers):
                 word = server._replace(sequence=2 + round(self.now), monitor="")
                 at = self.instances[number % self.size].gossip_address
@@ -130,7 +132,7 @@
                 self.sent_bytes += len(data) + _UDP_BYTES
                 to = self.nodes[effect.address]
                 queue += to.receive(datagram_wire.decode(data), self.now)
-        self.now += spread.PERIOD_S
+        self.now += gossip_protocol.PERIOD_S
 
 
 def cost(size: int) -> Cost:
@@ -144,7 +146,7 @@
     for _ in range(periods):
         world.period()
     cpu_s = time.process_time() - began
-    seconds = periods * spread.PERIOD_S * size
+    seconds = periods * gossip_protocol.PERIOD_S * size
     tracemalloc.start()
     before = tracemalloc.get_traced_memory()[0]
     kept = world.start(world.instances[0])
--- a/hyssopfold/core/membership/spread.py
+++ b/hyssopfold/core/membership/gossip_protocol.py
@@ -19,7 +19,7 @@
 
 PERIOD_S = 0.5
 # By then all that can be reached know of a change (docs/design/placement.md).
-SPREAD_S = 3.0
+PROPAGATION_S = 3.0
 SPARE_ROUNDS = 4
 ROUNDS_PER_DOUBLING = 2
 # Control instances that are asked to tell all of a new or changed instance.
@@ -34,7 +34,7 @@
 Effects = list[effects_module.Effect]
 
 
-class Spread:
+class GossipProtocol:
     """Keep and spread the directory.
 
     Each server is heard by one instance, its monitor, which tells the others
--- a/hyssopfold/transport/gossip.py
+++ b/hyssopfold/transport/gossip.py
@@ -18,16 +18,16 @@
 from hyssopfold.core.membership import broadcasts
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import effects as effects_module
+from hyssopfold.core.membership import gossip_protocol
 from hyssopfold.core.membership import messages
-from hyssopfold.core.membership import spread
 from hyssopfold.transport import auth
 from hyssopfold.transport import datagram_wire
 from hyssopfold.transport import traffic
 
 logger = logging.getLogger(__name__)
 
-PERIOD_S = spread.PERIOD_S
-SPREAD_S = spread.SPREAD_S
+PERIOD_S = gossip_protocol.PERIOD_S
+SPREAD_S = gossip_protocol.PROPAGATION_S
 _RECEIVE_BYTES = 65_536
 _KIND = "Datagram"
 _QUEUE = 4096
@@ -64,9 +64,14 @@
         self.on_revision: Callable[[str, int], None] = _ignore
         self.directory = directory.Directory(lease_s)
         self._spread = functools.partial(
-            spread.Spread, myself, seeds, self.directory, lease_s, rng
+            gossip_protocol.GossipProtocol,
+            myself,
+            seeds,
+            self.directory,
+            lease_s,
+            rng,
         )
-        self._started: spread.Spread | None = None
+        self._started: gossip_protocol.GossipProtocol | None = None
         self._outbox_in, self._outbox = trio.open_memory_channel[
             tuple[str, bytes]
         ](_QUEUE)
@@ -84,7 +89,7 @@
         self._traffic = traffic.Traffic(myself, self.directory)
 
     @property
-    def _core(self) -> spread.Spread:
+    def _core(self) -> gossip_protocol.GossipProtocol:
         if self._started is None:
             self._started = self._spread(trio.current_time())
         return self._started
--- a/tests/steps/core/membership/spread_steps.py
+++ b/tests/steps/core/membership/gossip_protocol_steps.py
@@ -1,4 +1,4 @@
-"""Steps of core/membership/spread.feature."""
+"""Steps of core/membership/gossip_protocol.feature."""
 
 from behave import given
 from behave import then
--- a/tests/support/fake_gossip.py
+++ b/tests/support/fake_gossip.py
@@ -8,8 +8,8 @@
 from hyssopfold.core.membership import broadcasts
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import effects as effects_module
+from hyssopfold.core.membership import gossip_protocol
 from hyssopfold.core.membership import messages
-from hyssopfold.core.membership import spread
 from hyssopfold.transport import datagram_wire
 
 LEASE_S = 4.0
@@ -103,7 +103,7 @@
         self._regions_at[me.gossip_address] = me.region
         rng = random.Random(self.rng.random())
         known = directory.Directory(LEASE_S)
-        self.nodes[me.name] = spread.Spread(
+        self.nodes[me.name] = gossip_protocol.GossipProtocol(
             me, self.seeds, known, LEASE_S, rng, self.now
         )
         return me.name
@@ -185,11 +185,11 @@
                 if name not in self.dead:
                     self.carry(name, self.nodes[name].flush(self.now))
         if self._next_tick <= self.now:
-            self._next_tick += spread.PERIOD_S
+            self._next_tick += gossip_protocol.PERIOD_S
             self._tick()
 
     def _tick(self):
-        if round(self.now / spread.PERIOD_S) % 2 == 0:
+        if round(self.now / gossip_protocol.PERIOD_S) % 2 == 0:
             for server_id in self.servers:
                 if server_id not in self.silent:
                     self.announce(server_id)
