--- a/hyssopfold/core/membership/gossip_protocol.py
+++ b/hyssopfold/core/membership/gossip_protocol.py
@@ -6,12 +6,12 @@
 from typing import Any
 
 from hyssopfold.core.membership import announced
-from hyssopfold.core.membership import beats
 from hyssopfold.core.membership import broadcasts
 from hyssopfold.core.membership import comparison
 from hyssopfold.core.membership import composer
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import effects as effects_module
+from hyssopfold.core.membership import heartbeats
 from hyssopfold.core.membership import messages
 from hyssopfold.core.membership import monitoring
 from hyssopfold.core.membership import neighbours
@@ -67,13 +67,18 @@
         self._lease_s = lease_s
         self._rng = rng
         self._started = now
-        self._beats = beats.Beats()
+        self._heartbeats = heartbeats.Heartbeats()
         self._announced = announced.Announced(lease_s)
         self._neighbours = neighbours.Neighbours(
             myself.name, (myself.region, myself.failure_domain), known, rng
         )
         self._suspicions = suspicion_module.Suspicions(
-            myself.name, PERIOD_S, known, self._neighbours, self._beats, now
+            myself.name,
+            PERIOD_S,
+            known,
+            self._neighbours,
+            self._heartbeats,
+            now,
         )
         self._made = composer.Composer(myself, known)
         self._broadcasts = broadcasts.Broadcasts(
@@ -133,10 +138,10 @@
         """
         if name == self.myself.name:
             return False
-        if self._beats.is_suspected(name):
+        if self._heartbeats.is_suspected(name):
             return True
         limit_s = self.instance_lease_s() * SUSPECT_SHARE
-        return self._beats.silent_s(name, now) > limit_s
+        return self._heartbeats.silent_s(name, now) > limit_s
 
     def update_self(self, now: float, **changes: Any) -> Effects:
         """Change this instance's word; it is spread when it differs.
@@ -272,12 +277,12 @@
                     self._broadcasts.add_news(instance.name)
         for server in datagram.servers:
             effects += self._take_server(server, now)
-        self._beats.learn(self.known)
+        self._heartbeats.learn(self.known)
         for told in datagram.suspects:
-            if told.name != self.myself.name and self._beats.suspect(told):
+            if told.name != self.myself.name and self._heartbeats.suspect(told):
                 effects.append(self._suspected(told.name))
-        fresh += self._beats.merge(datagram.beats, now)
-        self._was_fed = self._was_fed or bool(datagram.beats)
+        fresh += self._heartbeats.merge(datagram.heartbeats, now)
+        self._was_fed = self._was_fed or bool(datagram.heartbeats)
         lease_s = self.instance_lease_s()
         for name in fresh:
             if name != self.myself.name:
@@ -311,7 +316,7 @@
         name = instance.name
         if name == self.myself.name:
             return False
-        alive = self._beats.is_alive(name, instance.incarnation)
+        alive = self._heartbeats.is_alive(name, instance.incarnation)
         return alive or name == sender
 
     def _is_monitored(self, server: messages.Server) -> bool:
@@ -345,8 +350,8 @@
         return effects + self._reply_about_words(asker, datagram, now)
 
     def _signs_of_life(self, now: float) -> messages.Datagram:
-        packed = self._beats.pack(self.myself.name, self._rng, now)
-        return self._made.introduction()._replace(beats=packed)
+        packed = self._heartbeats.pack(self.myself.name, self._rng, now)
+        return self._made.introduction()._replace(heartbeats=packed)
 
     def _reply_about_words(
         self, asker: str, datagram: messages.Datagram, now: float
@@ -395,7 +400,7 @@
         self._comparison.renew()
         me = self.myself
         self.known.instances.renew(me.name, now, self._lease_s)
-        self._beats.advance(me.name, me.incarnation, now)
+        self._heartbeats.advance(me.name, me.incarnation, now)
         effects = self._broadcasts.repeat_alarms(now) + self._keep_servers(now)
         suspects = self._suspicions.find(now)
         effects += self._broadcasts.suspect(suspects, now)
@@ -405,7 +410,7 @@
             for word in self.known.expire(now)
             if word.state != "gone"
         ]
-        self._beats.learn(self.known)
+        self._heartbeats.learn(self.known)
         return effects + self._gossip(now)
 
     def _suspected(self, name: str) -> effects_module.Changed:
--- a/hyssopfold/core/membership/beats.py
+++ b/hyssopfold/core/membership/heartbeats.py
@@ -10,7 +10,7 @@
 from hyssopfold.core.membership import messages
 
 # As many as fit into a datagram beside the sender's own word.
-MAX_BEATS = 180
+MAX_HEARTBEATS = 180
 LATELY_S = 1.0
 MAX_BURIED = 1000
 # A hash of the name and the life, and the low bits of the count.
@@ -21,11 +21,11 @@
 
 class _Count(NamedTuple):
     incarnation: int
-    beats: int
+    heartbeats: int
     changed_at: float
 
 
-class Beats:
+class Heartbeats:
     """Newest sign of life of each instance, known by a hash of its life.
 
     A sign counts only for the life that the directory knows: one of an
@@ -42,7 +42,7 @@
     def advance(self, name: str, incarnation: int, now: float) -> None:
         """Count one more sign of life of this instance itself."""
         held = self._counts.get(name)
-        count = 1 if held is None else held.beats + 1
+        count = 1 if held is None else held.heartbeats + 1
         self._counts[name] = _Count(incarnation, count, now)
         self._names[_hash(name, incarnation)] = name
 
@@ -80,7 +80,7 @@
         buried = self._buried.get(name)
         if buried is None or buried.incarnation != incarnation:
             return True
-        return self._counts[name].beats > buried.beats
+        return self._counts[name].heartbeats > buried.heartbeats
 
     def silent_s(self, name: str, now: float) -> float:
         """Return the seconds since an instance's last sign of life.
@@ -88,13 +88,17 @@
         0 for one that has only just been told of.
         """
         held = self._counts.get(name)
-        return now - held.changed_at if held is not None and held.beats else 0.0
+        return (
+            now - held.changed_at
+            if held is not None and held.heartbeats
+            else 0.0
+        )
 
     def suspicion(self, name: str) -> messages.Suspicion:
         """Suspect an instance until a newer sign of life; return it to tell."""
         held = self._counts[name]
         self._suspected.add(name)
-        return messages.Suspicion(name, held.incarnation, held.beats)
+        return messages.Suspicion(name, held.incarnation, held.heartbeats)
 
     def suspect(self, told: messages.Suspicion) -> bool:
         """Take in another's suspicion, unless a newer sign of life came.
@@ -105,7 +109,7 @@
         held = self._counts.get(told.name)
         if held is None or held.incarnation != told.incarnation:
             return False
-        newer = (held.beats - told.beats) & _COUNT_MASK
+        newer = (held.heartbeats - told.heartbeats) & _COUNT_MASK
         if 0 < newer < _HALF or told.name in self._suspected:
             return False
         self._suspected.add(told.name)
@@ -125,17 +129,17 @@
             name
             for name, held in self._counts.items()
             if now - held.changed_at <= LATELY_S
-            and held.beats
+            and held.heartbeats
             and name != me
             and name not in self._buried
         ]
-        chosen = rng.sample(lately, min(len(lately), MAX_BEATS - 1))
+        chosen = rng.sample(lately, min(len(lately), MAX_HEARTBEATS - 1))
         return b"".join(self._pack(name) for name in (me, *chosen))
 
     def _pack(self, name: str) -> bytes:
         held = self._counts[name]
         key = _hash(name, held.incarnation)
-        return _PACKED.pack(key, held.beats & _COUNT_MASK)
+        return _PACKED.pack(key, held.heartbeats & _COUNT_MASK)
 
     def merge(self, packed: bytes, now: float) -> Iterable[str]:
         """Take in signs of life; return the names that made a new one."""
@@ -146,11 +150,15 @@
             if name is None:
                 continue
             held = self._counts[name]
-            newer = (count - held.beats) & _COUNT_MASK
-            if held.beats and not 0 < newer < _HALF:
+            newer = (count - held.heartbeats) & _COUNT_MASK
+            if held.heartbeats and not 0 < newer < _HALF:
                 continue
             # Of a life not heard of before, any count is the first.
-            total = held.beats + newer if held.beats else count or _HALF * 2
+            total = (
+                held.heartbeats + newer
+                if held.heartbeats
+                else count or _HALF * 2
+            )
             self._counts[name] = _Count(held.incarnation, total, now)
             self._suspected.discard(name)
             fresh.append(name)
--- a/hyssopfold/core/membership/messages.py
+++ b/hyssopfold/core/membership/messages.py
@@ -55,17 +55,17 @@
 
 
 class Suspicion(NamedTuple):
-    """No sign of life of an instance has come for long; `beats` is the last."""
+    """No sign of life of an instance has come for long; `heartbeats` is the last."""
 
     name: str
     incarnation: int
-    beats: int
+    heartbeats: int
 
 
 class Datagram(NamedTuple):
     """What one process tells another; `revision` is the one in force.
 
-    `beats` are signs of life of instances, packed (see `beats`). `digest` is
+    `heartbeats` are signs of life of instances, packed (see `heartbeats`). `digest` is
     one hash of all that the sender knows, `buckets` a hash of each part of it
     (see `digests`); with `compare` the receiver is to answer with what it
     knows in the parts that differ. `want` asks for everything, in datagrams
@@ -79,7 +79,7 @@
     revision: int
     instances: tuple[Instance, ...]
     servers: tuple[Server, ...]
-    beats: bytes = b""
+    heartbeats: bytes = b""
     digest: int = NO_DIGEST
     buckets: bytes = b""
     compare: bool = False
--- a/hyssopfold/core/membership/suspicion.py
+++ b/hyssopfold/core/membership/suspicion.py
@@ -2,8 +2,8 @@
 
 import math
 
-from hyssopfold.core.membership import beats
 from hyssopfold.core.membership import directory
+from hyssopfold.core.membership import heartbeats
 from hyssopfold.core.membership import messages
 from hyssopfold.core.membership import neighbours
 
@@ -35,7 +35,7 @@
         period_s: float,
         known: directory.Directory,
         near: neighbours.Neighbours,
-        signs: beats.Beats,
+        signs: heartbeats.Heartbeats,
         now: float,
     ) -> None:
         self._me = me
