--- a/bench/capacity/lookup.py
+++ b/bench/capacity/lookup.py
@@ -50,7 +50,7 @@
         self.instances = self
         self._entries = entries
 
-    def words(self):
+    def records(self):
         """Return all instances."""
         return self._entries
 
--- a/hyssopfold/control/orders.py
+++ b/hyssopfold/control/orders.py
@@ -96,7 +96,7 @@
         if self._directory is None or replica.is_blank or replica.is_voter:
             return None
         voters = {member.address for member in replica.register.members}
-        for word in self._directory.instances.words():
+        for word in self._directory.instances.records():
             if word.rpc_address in voters and word.state == "ready":
                 return Elsewhere(word.address)
         return None
--- a/hyssopfold/core/balancing/node.py
+++ b/hyssopfold/core/balancing/node.py
@@ -178,7 +178,7 @@
 
     def tick(self, now: float) -> list[messages.Effect]:
         """Claim, renew, beat, serve queues and send asks again."""
-        for entry in self._known.instances.words():
+        for entry in self._known.instances.records():
             self._present[entry.name] = now
         effects = self.holder.tick(now)
         for key, servers in self._servers_by_key().items():
@@ -193,7 +193,7 @@
         for key in self._seats:
             if key.pool in self._pools:
                 found[key] = []
-        for server in self._known.servers.words():
+        for server in self._known.servers.records():
             if server.region != self._cfg.region or server.state != "ready":
                 continue
             if server.pool in self._pools:
--- a/hyssopfold/core/membership/directory.py
+++ b/hyssopfold/core/membership/directory.py
@@ -14,15 +14,15 @@
 # their way; later by more, the server has become cold again.
 _SAME_S = 0.75
 
-Word = TypeVar("Word", messages.Server, messages.Instance)
+Record = TypeVar("Record", messages.Server, messages.Instance)
 
 
-class _Held(NamedTuple, Generic[Word]):
-    word: Word
+class _Held(NamedTuple, Generic[Record]):
+    word: Record
     expires: float
 
 
-class Leases(Generic[Word]):
+class Leases(Generic[Record]):
     """Keep the newest word of each member until its lease ends.
 
     Args:
@@ -33,11 +33,11 @@
     def __init__(self, lease_s: float, hashed: digests.Digests) -> None:
         self._lease_s = lease_s
         self._hashed = hashed
-        self._held: dict[str, _Held[Word]] = {}
+        self._held: dict[str, _Held[Record]] = {}
         # Grows with each change of the words; a renewal is none.
         self.changes = 0
 
-    def update(self, key: str, word: Word, now: float) -> bool:
+    def update(self, key: str, word: Record, now: float) -> bool:
         """Take a word in; return whether it was newer than what is held.
 
         Doubled and late words are ignored, and `leaving` is final for an
@@ -66,7 +66,7 @@
         if held is not None and held.expires < now + lease_s:
             self._held[key] = held._replace(expires=now + lease_s)
 
-    def expire(self, now: float) -> list[Word]:
+    def expire(self, now: float) -> list[Record]:
         """Drop and return the words whose lease has ended."""
         ended = [key for key, held in self._held.items() if held.expires <= now]
         self.changes += len(ended)
@@ -74,7 +74,7 @@
             self._hashed.drop(key)
         return [self._held.pop(key).word for key in ended]
 
-    def words(self) -> Iterable[Word]:
+    def records(self) -> Iterable[Record]:
         """Return all words that are held."""
         return [held.word for held in self._held.values()]
 
@@ -83,7 +83,7 @@
         """Return how many words are held."""
         return len(self._held)
 
-    def get(self, key: str) -> Word | None:
+    def get(self, key: str) -> Record | None:
         """Return the word of `key`."""
         held = self._held.get(key)
         return held.word if held is not None else None
@@ -111,7 +111,7 @@
     return mine > (held.incarnation, held.sequence, held.state == "gone")
 
 
-def _left(held: _Held[Word] | None, word: Word) -> bool:
+def _left(held: _Held[Record] | None, word: Record) -> bool:
     if held is None or held.word.state != "leaving":
         return False
     if word.state == "gone":
@@ -181,7 +181,7 @@
         """
         if self._pools_of != self.servers.changes:
             self._pools_of = self.servers.changes
-            self._pools = _by_pool(self.servers.words())
+            self._pools = _by_pool(self.servers.records())
         return self._pools.get(pool, ())
 
     def ready_entries(self) -> tuple[messages.Instance, ...]:
@@ -193,7 +193,7 @@
             self._entries_of = self.instances.changes
             self._entries = tuple(
                 instance
-                for instance in self.instances.words()
+                for instance in self.instances.records()
                 if instance.role == "entry" and instance.state == "ready"
             )
         return self._entries
--- a/hyssopfold/core/membership/gossip_protocol.py
+++ b/hyssopfold/core/membership/gossip_protocol.py
@@ -381,8 +381,8 @@
         if now - self._answered.get(address, -math.inf) < WANT_EVERY_S / 2:
             return []
         self._answered[address] = now
-        keys = [one.name for one in self.known.instances.words()]
-        keys += [one.server_id for one in self.known.servers.words()]
+        keys = [one.name for one in self.known.instances.records()]
+        keys += [one.server_id for one in self.known.servers.records()]
         answers = self._made.datagrams(
             keys[: MAX_WANTED * composer.MAX_RECORDS], now
         )
--- a/hyssopfold/core/membership/heartbeats.py
+++ b/hyssopfold/core/membership/heartbeats.py
@@ -51,7 +51,7 @@
         if self._learned == known.instances.changes:
             return
         self._learned = known.instances.changes
-        words = {word.name: word for word in known.instances.words()}
+        words = {word.name: word for word in known.instances.records()}
         for name, word in words.items():
             held = self._counts.get(name)
             if held is None or held.incarnation != word.incarnation:
--- a/hyssopfold/core/membership/monitoring.py
+++ b/hyssopfold/core/membership/monitoring.py
@@ -47,11 +47,11 @@
 
     def keep(self, now: float) -> list[messages.Server]:
         """Renew the leases; return the servers that are gone from now on."""
-        alive = {one.name: one for one in self._known.instances.words()}
+        alive = {one.name: one for one in self._known.instances.records()}
         for one in alive.values():
             self._region_heard[one.region] = now
         gone: list[messages.Server] = []
-        for server in list(self._known.servers.words()):
+        for server in list(self._known.servers.records()):
             if server.state == "gone":
                 continue
             if server.monitor == self._me:
@@ -99,7 +99,7 @@
     def _mostly_silent(self, region: str, now: float) -> bool:
         mine = [
             server.server_id
-            for server in self._known.servers.words()
+            for server in self._known.servers.records()
             if server.monitor == self._me
             and server.region == region
             and server.state == "ready"
--- a/hyssopfold/core/membership/neighbours.py
+++ b/hyssopfold/core/membership/neighbours.py
@@ -55,7 +55,7 @@
         if self._as_of != self._known.instances.changes:
             self._as_of = self._known.instances.changes
             self._by_domain = {}
-            for one in self._known.instances.words():
+            for one in self._known.instances.records():
                 if one.name != self._me:
                     domain = (one.region, one.failure_domain)
                     self._by_domain.setdefault(domain, []).append(one)
--- a/hyssopfold/core/membership/suspicion.py
+++ b/hyssopfold/core/membership/suspicion.py
@@ -76,7 +76,7 @@
         """Return whether most of the other instances seem silent."""
         others = [
             one.name
-            for one in self._known.instances.words()
+            for one in self._known.instances.records()
             if one.name != self._me
         ]
         return 2 * len(self._silent(others, limit_s, now)) > len(others)
--- a/hyssopfold/entry/app.py
+++ b/hyssopfold/entry/app.py
@@ -127,6 +127,6 @@
             meter.in_flight.set(labels, busy)
             left = self._proxy.budget_of(pool.name).left
             meter.retries_left.set(labels, left)
-        for server in held.servers.words():
+        for server in held.servers.records():
             age = held.servers.age_s(server.server_id, now)
             meter.lease_age.set({"member": server.server_id}, age)
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -136,7 +136,7 @@
     async def _tidy(self) -> None:
         while True:
             await trio.sleep(_TIDY_S)
-            words = self._directory.servers.words()
+            words = self._directory.servers.records()
             self._chooser.forget({one.server_id for one in words})
 
     async def _tell(self) -> None:
--- a/hyssopfold/entry/status.py
+++ b/hyssopfold/entry/status.py
@@ -67,7 +67,7 @@
         in_flight = self._placement.in_flight()
         now = trio.current_time()
         by_region: dict[str, list[dict[str, Any]]] = defaultdict(list)
-        for server in self._spread.directory.servers.words():
+        for server in self._spread.directory.servers.records():
             if server.pool == pool.name:
                 held = in_flight.get(server.server_id, 0)
                 row = self._server(pool, server, held, now)
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -247,7 +247,7 @@
             return
         found = [
             one.rpc_address
-            for one in self.known.instances.words()
+            for one in self.known.instances.records()
             if one.role == "control" and one.rpc_address
         ]
         self.config.set_control(found)
--- a/hyssopfold/instances.py
+++ b/hyssopfold/instances.py
@@ -8,6 +8,6 @@
 
 def answer(spread: gossip.Gossip) -> http.Answer:
     """Return the instances whose lease holds, with their own words."""
-    words = spread.directory.instances.words()
+    words = spread.directory.instances.records()
     listed = [word._asdict() for word in words]
     return http.json_answer({"instances": listed})
--- a/hyssopfold/transport/gossip.py
+++ b/hyssopfold/transport/gossip.py
@@ -134,7 +134,7 @@
         All of them when all others may be: then this one is cut off.
         """
         now = trio.current_time()
-        known = list(self.directory.instances.words())
+        known = list(self.directory.instances.records())
         live = [
             one for one in known if not self._core.is_suspect(one.name, now)
         ]
--- a/hyssopfold/transport/traffic.py
+++ b/hyssopfold/transport/traffic.py
@@ -42,7 +42,7 @@
             self._as_of = self._known.instances.changes
             self._distances = {
                 one.gossip_address: self._distance_of(one)
-                for one in self._known.instances.words()
+                for one in self._known.instances.records()
             }
         return self._distances.get(address, "unknown")
 
--- a/tests/steps/core/membership/gossip_protocol_steps.py
+++ b/tests/steps/core/membership/gossip_protocol_steps.py
@@ -25,7 +25,7 @@
         ready = node.known.ready_servers("ledger")
         assert len(ready) == servers, (name, len(ready))
         if instances is not None:
-            known = list(node.known.instances.words())
+            known = list(node.known.instances.records())
             assert len(known) == instances, (name, len(known))
 
 
--- a/tests/steps/core/membership/many_steps.py
+++ b/tests/steps/core/membership/many_steps.py
@@ -57,7 +57,7 @@
 def _(context, times):
     gossip = context.gossip
     node = next(iter(gossip.nodes.values()))
-    words = [*node.known.instances.words(), *node.known.servers.words()]
+    words = [*node.known.instances.records(), *node.known.servers.records()]
     size = len(msgspec.msgpack.encode(words))
     most = max(gossip.received_bytes.values())
     assert most < times * size, (most, size)
