--- a/hyssopfold/core/membership/comparison.py
+++ b/hyssopfold/core/membership/anti_entropy.py
@@ -2,7 +2,7 @@
 
 import random
 
-from hyssopfold.core.membership import composer
+from hyssopfold.core.membership import datagram_builder
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import effects
 
@@ -12,22 +12,22 @@
 MAX_COMPARISONS = 2
 
 
-class Comparison:
+class AntiEntropy:
     """Compare what two instances know.
 
     Args:
-        made: Makes the datagrams.
+        builder: Makes the datagrams.
         known: What this instance knows.
         rng: Draws the parts that are told of first.
     """
 
     def __init__(
         self,
-        made: composer.Composer,
+        builder: datagram_builder.DatagramBuilder,
         known: directory.Directory,
         rng: random.Random,
     ) -> None:
-        self._made = made
+        self._builder = builder
         self._known = known
         self._rng = rng
         self._left = MAX_COMPARISONS
@@ -42,7 +42,7 @@
             return []
         self._left -= 1
         mine = self._known.digests.packed()
-        question = self._made.empty()._replace(buckets=mine, compare=True)
+        question = self._builder.empty()._replace(buckets=mine, compare=True)
         return [effects.Send(address, question, "compare")]
 
     def answer(
@@ -68,11 +68,11 @@
             for number in differing
             for key in self._known.digests.keys(number)
         ]
-        answers = self._made.datagrams(
-            keys[: composer.MAX_RECORDS * MAX_ANSWERS], now
+        answers = self._builder.datagrams(
+            keys[: datagram_builder.MAX_RECORDS * MAX_ANSWERS], now
         )
         if compare:
-            last = answers.pop() if answers else self._made.empty()
+            last = answers.pop() if answers else self._builder.empty()
             mine = self._known.digests.packed()
             answers.append(last._replace(buckets=mine))
         return [effects.Send(address, answer, "compare") for answer in answers]
--- a/hyssopfold/core/membership/broadcasts.py
+++ b/hyssopfold/core/membership/broadcasts.py
@@ -3,10 +3,10 @@
 from collections.abc import Callable
 from collections.abc import Sequence
 
-from hyssopfold.core.membership import composer
+from hyssopfold.core.membership import datagram_builder
 from hyssopfold.core.membership import effects
 from hyssopfold.core.membership import messages
-from hyssopfold.core.membership import neighbours
+from hyssopfold.core.membership import peer_selection
 
 # How long news of members that come are gathered, to travel together.
 BATCH_S = 0.2
@@ -24,19 +24,19 @@
     """Tell all instances of changes.
 
     Args:
-        made: Makes the datagrams.
-        near: Knows the other instances.
+        builder: Makes the datagrams.
+        peer_selector: Knows the other instances.
         is_live: Whether an instance, by name, is fit to be a relay at a time.
     """
 
     def __init__(
         self,
-        made: composer.Composer,
-        near: neighbours.Neighbours,
+        builder: datagram_builder.DatagramBuilder,
+        peer_selector: peer_selection.PeerSelector,
         is_live: Callable[[str, float], bool],
     ) -> None:
-        self._made = made
-        self._near = near
+        self._builder = builder
+        self._peer_selector = peer_selector
         self._is_live = is_live
         # What waits for the next batch, and whether it must not be lost.
         self._news: dict[str, bool] = {}
@@ -92,7 +92,7 @@
         """Tell which instances their failure domain no longer hears."""
         if not suspects:
             return []
-        datagram = self._made.empty()._replace(suspects=suspects)
+        datagram = self._builder.empty()._replace(suspects=suspects)
         return self._send(datagram, "alarm", ALARM_RELAYS, now)
 
     def pass_on(self, datagram: messages.Datagram) -> Sends:
@@ -102,7 +102,7 @@
         passed = datagram._replace(relay=False)
         return [
             effects.Send(one.gossip_address, passed, "news")
-            for one in self._near.own_domain()
+            for one in self._peer_selector.own_domain()
         ]
 
     def _tell(
@@ -113,7 +113,7 @@
         now: float,
     ) -> Sends:
         sends: Sends = []
-        for datagram in self._made.datagrams(keys, now):
+        for datagram in self._builder.datagrams(keys, now):
             sends += self._send(datagram, purpose, relays, now)
         return sends
 
@@ -129,7 +129,7 @@
             effects.Send(
                 to.address, relayed if to.relays else datagram, purpose
             )
-            for to in self._near.everyone(
+            for to in self._peer_selector.everyone(
                 relays, lambda name: self._is_live(name, now)
             )
         ]
--- a/hyssopfold/core/membership/composer.py
+++ b/hyssopfold/core/membership/datagram_builder.py
@@ -9,7 +9,7 @@
 MAX_RECORDS = 32
 
 
-class Composer:
+class DatagramBuilder:
     """Make datagrams.
 
     Args:
--- a/hyssopfold/core/membership/suspicion.py
+++ b/hyssopfold/core/membership/failure_detector.py
@@ -5,7 +5,7 @@
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import heartbeats
 from hyssopfold.core.membership import messages
-from hyssopfold.core.membership import neighbours
+from hyssopfold.core.membership import peer_selection
 
 # Periods without a sign of life, beyond those that gossip among the members
 # of a failure domain takes, after which these suspect one of them.
@@ -14,7 +14,7 @@
 STALLED_PERIODS = 3
 
 
-class Suspicions:
+class FailureDetector:
     """Find who of the own failure domain is heard no longer.
 
     Its members hear one another most often. An instance that hears nobody, or
@@ -24,7 +24,7 @@
         me: Name of this instance.
         period_s: Seconds between two signs of life of an instance.
         known: Directory of the instances.
-        near: Tells who is in this failure domain.
+        peer_selector: Tells who is in this failure domain.
         signs: Signs of life.
         now: Monotonic seconds of the start.
     """
@@ -34,14 +34,14 @@
         me: str,
         period_s: float,
         known: directory.Directory,
-        near: neighbours.Neighbours,
+        peer_selector: peer_selection.PeerSelector,
         signs: heartbeats.Heartbeats,
         now: float,
     ) -> None:
         self._me = me
         self._period_s = period_s
         self._known = known
-        self._near = near
+        self._peer_selector = peer_selector
         self._signs = signs
         self._looked_at = now
         self._well_since = now
@@ -51,7 +51,7 @@
         if now - self._looked_at > STALLED_PERIODS * self._period_s:
             self._well_since = now
         self._looked_at = now
-        mates = [one.name for one in self._near.own_domain()]
+        mates = [one.name for one in self._peer_selector.own_domain()]
         rounds = SPARE_ROUNDS + math.log2(len(mates) + 2)
         limit_s = self._period_s * rounds
         if now - self._well_since < limit_s:
--- a/hyssopfold/core/membership/gossip_protocol.py
+++ b/hyssopfold/core/membership/gossip_protocol.py
@@ -5,17 +5,17 @@
 import random
 from typing import Any
 
-from hyssopfold.core.membership import announced
+from hyssopfold.core.membership import anti_entropy
 from hyssopfold.core.membership import broadcasts
-from hyssopfold.core.membership import comparison
-from hyssopfold.core.membership import composer
+from hyssopfold.core.membership import datagram_builder
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import effects as effects_module
+from hyssopfold.core.membership import failure_detector
 from hyssopfold.core.membership import heartbeats
 from hyssopfold.core.membership import messages
 from hyssopfold.core.membership import monitoring
-from hyssopfold.core.membership import neighbours
-from hyssopfold.core.membership import suspicion as suspicion_module
+from hyssopfold.core.membership import peer_selection
+from hyssopfold.core.membership import received_announcements
 
 PERIOD_S = 0.5
 # By then all that can be reached know of a change (docs/design/placement.md).
@@ -68,29 +68,29 @@
         self._rng = rng
         self._started = now
         self._heartbeats = heartbeats.Heartbeats()
-        self._announced = announced.Announced(lease_s)
-        self._neighbours = neighbours.Neighbours(
+        self._received = received_announcements.ReceivedAnnouncements(lease_s)
+        self._peer_selector = peer_selection.PeerSelector(
             myself.name, (myself.region, myself.failure_domain), known, rng
         )
-        self._suspicions = suspicion_module.Suspicions(
+        self._failure_detector = failure_detector.FailureDetector(
             myself.name,
             PERIOD_S,
             known,
-            self._neighbours,
+            self._peer_selector,
             self._heartbeats,
             now,
         )
-        self._made = composer.Composer(myself, known)
+        self._builder = datagram_builder.DatagramBuilder(myself, known)
         self._broadcasts = broadcasts.Broadcasts(
-            self._made,
-            self._neighbours,
+            self._builder,
+            self._peer_selector,
             lambda name, at: not self.is_suspect(name, at),
         )
-        self._comparison = comparison.Comparison(self._made, known, rng)
+        self._anti_entropy = anti_entropy.AntiEntropy(self._builder, known, rng)
         self._monitoring = monitoring.Monitoring(
             myself.name,
             known,
-            self._announced,
+            self._received,
             lease_s,
             self._broadcasts.add_news,
         )
@@ -105,7 +105,7 @@
     @property
     def myself(self) -> messages.Instance:
         """Return this instance's own word."""
-        return self._made.myself
+        return self._builder.myself
 
     def set_seeds(self, seeds: Iterable[str]) -> None:
         """Look for others at these addresses from now on."""
@@ -152,18 +152,18 @@
         """
         before = self.myself
         word = before._replace(**changes)
-        self._made.myself = word
+        self._builder.myself = word
         effects: Effects = []
         if word.revision > before.revision:
             effects += [
-                effects_module.Send(peer, self._made.empty(), "hint")
+                effects_module.Send(peer, self._builder.empty(), "hint")
                 for peer in self._peers()
             ]
         # The revision goes along with every datagram, and the load of an
         # entry is no ground for a decision elsewhere: neither is news.
         if word._replace(load=before.load, revision=before.revision) == before:
             return effects
-        self._made.myself = word._replace(sequence=word.sequence + 1)
+        self._builder.myself = word._replace(sequence=word.sequence + 1)
         self._note_self(now)
         if word.state == "leaving":
             return effects + self._broadcasts.alarm([word.name], now)
@@ -175,22 +175,26 @@
 
     def _ask_introduction(self) -> Effects:
         """Let a few tell of this instance, together with others."""
-        me = self._made.introduction()._replace(introduce=True)
-        through = self._neighbours.nearest(INTRODUCERS, "control")
+        me = self._builder.introduction()._replace(introduce=True)
+        through = self._peer_selector.nearest(INTRODUCERS, "control")
         return [effects_module.Send(address, me, "news") for address in through]
 
     def announce(self, server: messages.Server, now: float) -> Effects:
         """Take in what a server says of itself to this instance."""
-        last = self._announced.get(server.server_id)
-        if last is not None and not announced.is_newer(server, last):
+        last = self._received.get(server.server_id)
+        if last is not None and not received_announcements.is_newer(
+            server, last
+        ):
             return []
         held = self.known.servers.get(server.server_id)
         if _has_left(held, server):
             # A word that was on its way when the server was dismissed.
             server = server._replace(state="leaving")
-        settled = self._announced.take(server, now)
+        settled = self._received.take(server, now)
         # Another instance may have told already what the server said later.
-        is_late = held is not None and announced.is_newer(held, server)
+        is_late = held is not None and received_announcements.is_newer(
+            held, server
+        )
         cold_again = not is_late and self.known.note_cold(server, now)
         vouched = held is not None and self._vouched(held, server, settled)
         if held is not None and vouched and not cold_again:
@@ -220,8 +224,8 @@
         if held is None or held.state != "ready":
             return []
         newest = held
-        last = self._announced.get(server_id)
-        if last is not None and announced.is_newer(last, held):
+        last = self._received.get(server_id)
+        if last is not None and received_announcements.is_newer(last, held):
             newest = last
         word = newest._replace(
             state="leaving", sequence=newest.sequence + 1, monitor=""
@@ -299,7 +303,7 @@
         elif held is None and not self._is_monitored(server):
             return []
         mine = server.monitor == self.myself.name
-        if mine and self._announced.get(server.server_id) is None:
+        if mine and self._received.get(server.server_id) is None:
             # What this instance said in an earlier life: not vouched for.
             server = server._replace(monitor="")
         if not self.known.servers.update(server.server_id, server, now):
@@ -351,7 +355,7 @@
 
     def _signs_of_life(self, now: float) -> messages.Datagram:
         packed = self._heartbeats.pack(self.myself.name, self._rng, now)
-        return self._made.introduction()._replace(heartbeats=packed)
+        return self._builder.introduction()._replace(heartbeats=packed)
 
     def _reply_about_words(
         self, asker: str, datagram: messages.Datagram, now: float
@@ -359,7 +363,7 @@
         if datagram.want:
             return self._tell_all(asker, now)
         if datagram.buckets:
-            return self._comparison.answer(
+            return self._anti_entropy.answer(
                 asker, datagram.buckets, datagram.compare, now
             )
         if datagram.digest in (
@@ -367,7 +371,7 @@
             self.known.digests.whole(),
         ):
             return []
-        return self._comparison.ask(asker)
+        return self._anti_entropy.ask(asker)
 
     def _address(self, datagram: messages.Datagram) -> str | None:
         for instance in datagram.instances:
@@ -383,8 +387,8 @@
         self._answered[address] = now
         keys = [one.name for one in self.known.instances.records()]
         keys += [one.server_id for one in self.known.servers.records()]
-        answers = self._made.datagrams(
-            keys[: MAX_WANTED * composer.MAX_RECORDS], now
+        answers = self._builder.datagrams(
+            keys[: MAX_WANTED * datagram_builder.MAX_RECORDS], now
         )
         return [
             effects_module.Send(
@@ -397,12 +401,12 @@
 
     def tick(self, now: float) -> Effects:
         """Spread; due each `PERIOD_S`."""
-        self._comparison.renew()
+        self._anti_entropy.renew()
         me = self.myself
         self.known.instances.renew(me.name, now, self._lease_s)
         self._heartbeats.advance(me.name, me.incarnation, now)
         effects = self._broadcasts.repeat_alarms(now) + self._keep_servers(now)
-        suspects = self._suspicions.find(now)
+        suspects = self._failure_detector.find(now)
         effects += self._broadcasts.suspect(suspects, now)
         effects += [self._suspected(one.name) for one in suspects]
         effects += [
@@ -442,18 +446,20 @@
 
     def _want(self) -> Effects:
         """Ask one for everything, and to tell the others of this instance."""
-        question = self._made.introduction()._replace(want=True, introduce=True)
+        question = self._builder.introduction()._replace(
+            want=True, introduce=True
+        )
         others = set(self._seeds) - {self.myself.gossip_address}
-        near = self._neighbours.nearest(1, "control") or sorted(others)
+        near = self._peer_selector.nearest(1, "control") or sorted(others)
         near = near or self._peers()
         if not near:
             return []
         return [effects_module.Send(self._rng.choice(near), question, "want")]
 
     def _peers(self) -> list[str]:
-        peers = self._neighbours.partners()
+        peers = self._peer_selector.partners()
         # One that was cut off as a whole comes back through a seed.
-        known = self._neighbours.addresses()
+        known = self._peer_selector.addresses()
         lost = sorted(set(self._seeds) - {self.myself.gossip_address} - known)
         if lost:
             peers.append(self._rng.choice(lost))
--- a/hyssopfold/core/membership/monitoring.py
+++ b/hyssopfold/core/membership/monitoring.py
@@ -3,9 +3,9 @@
 from collections.abc import Callable
 import math
 
-from hyssopfold.core.membership import announced
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import messages
+from hyssopfold.core.membership import received_announcements
 
 # How long a server holds whose monitor is silent: it announces itself each
 # second, and another instance takes over as monitor.
@@ -34,7 +34,7 @@
         self,
         me: str,
         known: directory.Directory,
-        heard: announced.Announced,
+        heard: received_announcements.ReceivedAnnouncements,
         lease_s: float,
         add_news: Callable[[str], None],
     ) -> None:
--- a/hyssopfold/core/membership/neighbours.py
+++ b/hyssopfold/core/membership/peer_selection.py
@@ -23,7 +23,7 @@
     relays: bool = False
 
 
-class Neighbours:
+class PeerSelector:
     """Choose other instances, near ones before far ones.
 
     Traffic between failure domains and regions is scarce: all of a failure
--- a/hyssopfold/core/membership/announced.py
+++ b/hyssopfold/core/membership/received_announcements.py
@@ -5,7 +5,7 @@
 from hyssopfold.core.membership import messages
 
 
-class Announced:
+class ReceivedAnnouncements:
     """Keep the newest announcement of each server, and when it came.
 
     Args:
