--- a/hyssopfold/core/membership/directory.py
+++ b/hyssopfold/core/membership/directory.py
@@ -151,7 +151,7 @@
             if self.servers.update(server.server_id, server, now)
         )
 
-    def note_cold(self, server: messages.Server, now: float) -> bool:
+    def record_cold(self, server: messages.Server, now: float) -> bool:
         """Take in how long a server stays cold; return whether it is news."""
         until = now + server.cold_left_s if server.cold_left_s > 0 else 0.0
         news = until > self._cold_until.get(server.server_id, 0.0) + _SAME_S
--- a/hyssopfold/core/membership/gossip_protocol.py
+++ b/hyssopfold/core/membership/gossip_protocol.py
@@ -195,7 +195,7 @@
         is_late = held is not None and received_announcements.is_newer(
             held, server
         )
-        cold_again = not is_late and self.known.note_cold(server, now)
+        cold_again = not is_late and self.known.record_cold(server, now)
         vouched = held is not None and self._vouched(held, server, settled)
         if held is not None and vouched and not cold_again:
             if held.monitor == self.myself.name:
@@ -308,7 +308,7 @@
             server = server._replace(monitor="")
         if not self.known.servers.update(server.server_id, server, now):
             return []
-        self.known.note_cold(server, now)
+        self.known.record_cold(server, now)
         if server.state == "gone":
             self._renew(server.server_id, now, monitoring.GONE_S)
         if server.state == "gone" and self._monitoring.vouch(server, now):
--- a/tests/steps/core/balancing/reopened_steps.py
+++ b/tests/steps/core/balancing/reopened_steps.py
@@ -36,7 +36,7 @@
 
 @when('server "{name}" says at {at:g} s that it stays cold for {seconds:g} s')
 def _(context, name, at, seconds):
-    context.known.note_cold(_server(name, context.domain, seconds), at)
+    context.known.record_cold(_server(name, context.domain, seconds), at)
 
 
 @then('server "{name}" is taken for {state} at {at:g} s')
