--- a/hyssopfold/core/membership/anti_entropy.py
+++ b/hyssopfold/core/membership/anti_entropy.py
@@ -17,18 +17,18 @@
 
     Args:
         builder: Makes the datagrams.
-        known: What this instance knows.
+        member_directory: What this instance knows.
         rng: Draws the parts that are told of first.
     """
 
     def __init__(
         self,
         builder: datagram_builder.DatagramBuilder,
-        known: directory.Directory,
+        member_directory: directory.Directory,
         rng: random.Random,
     ) -> None:
         self._builder = builder
-        self._known = known
+        self._directory = member_directory
         self._rng = rng
         self._left = MAX_COMPARISONS
 
@@ -41,7 +41,7 @@
         if not self._left:
             return []
         self._left -= 1
-        mine = self._known.digests.packed()
+        mine = self._directory.digests.packed()
         question = self._builder.empty()._replace(buckets=mine, compare=True)
         return [effects.Send(address, question, "compare")]
 
@@ -59,20 +59,20 @@
             compare: Whether it is to answer in turn.
             now: Monotonic time in seconds.
         """
-        differing = self._known.digests.differing(buckets)
+        differing = self._directory.digests.differing(buckets)
         if not differing:
             return []
         self._rng.shuffle(differing)
         keys = [
             key
             for number in differing
-            for key in self._known.digests.keys(number)
+            for key in self._directory.digests.keys(number)
         ]
         answers = self._builder.datagrams(
             keys[: datagram_builder.MAX_RECORDS * MAX_ANSWERS], now
         )
         if compare:
             last = answers.pop() if answers else self._builder.empty()
-            mine = self._known.digests.packed()
+            mine = self._directory.digests.packed()
             answers.append(last._replace(buckets=mine))
         return [effects.Send(address, answer, "compare") for answer in answers]
--- a/hyssopfold/core/membership/datagram_builder.py
+++ b/hyssopfold/core/membership/datagram_builder.py
@@ -14,14 +14,14 @@
 
     Args:
         myself: This instance's own word; replaced when it changes.
-        known: Directory of the words.
+        member_directory: Directory of the words.
     """
 
     def __init__(
-        self, myself: messages.Instance, known: directory.Directory
+        self, myself: messages.Instance, member_directory: directory.Directory
     ) -> None:
         self.myself = myself
-        self._known = known
+        self._directory = member_directory
 
     def empty(self) -> messages.Datagram:
         """Return a datagram that brings the revision alone."""
@@ -48,12 +48,12 @@
         instances = [self.myself]
         servers = []
         for key in keys:
-            instance = self._known.instances.get(key)
-            server = self._known.servers.get(key)
+            instance = self._directory.instances.get(key)
+            server = self._directory.servers.get(key)
             if instance is not None and key != self.myself.name:
                 instances.append(instance)
             if server is not None:
-                left_s = max(0.0, self._known.cold_until(key) - now)
+                left_s = max(0.0, self._directory.cold_until(key) - now)
                 servers.append(server._replace(cold_left_s=left_s))
         return self.empty()._replace(
             instances=tuple(instances), servers=tuple(servers)
--- a/hyssopfold/core/membership/failure_detector.py
+++ b/hyssopfold/core/membership/failure_detector.py
@@ -23,7 +23,7 @@
     Args:
         me: Name of this instance.
         period_s: Seconds between two signs of life of an instance.
-        known: Directory of the instances.
+        member_directory: Directory of the instances.
         peer_selector: Tells who is in this failure domain.
         signs: Signs of life.
         now: Monotonic seconds of the start.
@@ -33,14 +33,14 @@
         self,
         me: str,
         period_s: float,
-        known: directory.Directory,
+        member_directory: directory.Directory,
         peer_selector: peer_selection.PeerSelector,
         signs: heartbeats.Heartbeats,
         now: float,
     ) -> None:
         self._me = me
         self._period_s = period_s
-        self._known = known
+        self._directory = member_directory
         self._peer_selector = peer_selector
         self._signs = signs
         self._looked_at = now
@@ -76,7 +76,7 @@
         """Return whether most of the other instances seem silent."""
         others = [
             one.name
-            for one in self._known.instances.records()
+            for one in self._directory.instances.records()
             if one.name != self._me
         ]
         return 2 * len(self._silent(others, limit_s, now)) > len(others)
--- a/hyssopfold/core/membership/gossip_protocol.py
+++ b/hyssopfold/core/membership/gossip_protocol.py
@@ -46,7 +46,7 @@
     Args:
         myself: This instance's own word.
         seeds: UDP addresses of some other instances.
-        known: The directory to keep.
+        member_directory: The directory to keep.
         lease_s: Seconds after which a silent server or instance is gone.
         rng: Source of the choice of peers.
         now: Monotonic seconds of the start.
@@ -56,12 +56,12 @@
         self,
         myself: messages.Instance,
         seeds: Iterable[str],
-        known: directory.Directory,
+        member_directory: directory.Directory,
         lease_s: float,
         rng: random.Random,
         now: float,
     ) -> None:
-        self.known = known
+        self.directory = member_directory
         self.highest_revision = 0
         self._seeds = tuple(seeds)
         self._lease_s = lease_s
@@ -70,26 +70,33 @@
         self._heartbeats = heartbeats.Heartbeats()
         self._received = received_announcements.ReceivedAnnouncements(lease_s)
         self._peer_selector = peer_selection.PeerSelector(
-            myself.name, (myself.region, myself.failure_domain), known, rng
+            myself.name,
+            (myself.region, myself.failure_domain),
+            member_directory,
+            rng,
         )
         self._failure_detector = failure_detector.FailureDetector(
             myself.name,
             PERIOD_S,
-            known,
+            member_directory,
             self._peer_selector,
             self._heartbeats,
             now,
         )
-        self._builder = datagram_builder.DatagramBuilder(myself, known)
+        self._builder = datagram_builder.DatagramBuilder(
+            myself, member_directory
+        )
         self._broadcasts = broadcasts.Broadcasts(
             self._builder,
             self._peer_selector,
             lambda name, at: not self.is_suspect(name, at),
         )
-        self._anti_entropy = anti_entropy.AntiEntropy(self._builder, known, rng)
+        self._anti_entropy = anti_entropy.AntiEntropy(
+            self._builder, member_directory, rng
+        )
         self._monitoring = monitoring.Monitoring(
             myself.name,
-            known,
+            member_directory,
             self._received,
             lease_s,
             self._broadcasts.add_news,
@@ -125,7 +132,7 @@
 
         A sign of life needs more rounds of gossip, the more there are.
         """
-        size = self.known.instances.size
+        size = self.directory.instances.size
         rounds = SPARE_ROUNDS + ROUNDS_PER_DOUBLING * math.log2(size + 1)
         return max(self._lease_s, PERIOD_S * rounds)
 
@@ -171,7 +178,7 @@
 
     def _note_self(self, now: float) -> None:
         me = self.myself
-        self.known.instances.update(me.name, me, now)
+        self.directory.instances.update(me.name, me, now)
 
     def _ask_introduction(self) -> Effects:
         """Let a few tell of this instance, together with others."""
@@ -186,7 +193,7 @@
             server, last
         ):
             return []
-        held = self.known.servers.get(server.server_id)
+        held = self.directory.servers.get(server.server_id)
         if _has_left(held, server):
             # A word that was on its way when the server was dismissed.
             server = server._replace(state="leaving")
@@ -195,14 +202,14 @@
         is_late = held is not None and received_announcements.is_newer(
             held, server
         )
-        cold_again = not is_late and self.known.record_cold(server, now)
+        cold_again = not is_late and self.directory.record_cold(server, now)
         vouched = held is not None and self._vouched(held, server, settled)
         if held is not None and vouched and not cold_again:
             if held.monitor == self.myself.name:
                 self._renew(server.server_id, now, self._lease_s)
             return []
         word = server._replace(monitor=self.myself.name)
-        if not self.known.servers.update(server.server_id, word, now):
+        if not self.directory.servers.update(server.server_id, word, now):
             return []
         changed = _changed(server)
         if server.state == "ready":
@@ -220,7 +227,7 @@
         here is newer than what any instance was told, since a server's usual
         words are not passed on.
         """
-        held = self.known.servers.get(server_id)
+        held = self.directory.servers.get(server_id)
         if held is None or held.state != "ready":
             return []
         newest = held
@@ -233,7 +240,7 @@
         return self.announce(word, now)
 
     def _renew(self, server_id: str, now: float, lease_s: float) -> None:
-        self.known.servers.renew(server_id, now, lease_s)
+        self.directory.servers.renew(server_id, now, lease_s)
 
     def _vouched(
         self, held: messages.Server, server: messages.Server, settled: bool
@@ -244,7 +251,7 @@
         not notice its end.
         """
         mine = held.monitor == self.myself.name
-        if not mine and self.known.instances.get(held.monitor) is None:
+        if not mine and self.directory.instances.get(held.monitor) is None:
             return False
         if not mine and settled and held.state == "ready":
             return False
@@ -275,13 +282,13 @@
         for instance in datagram.instances:
             if not self._is_credible(instance, datagram.sender):
                 continue
-            if self.known.instances.update(instance.name, instance, now):
+            if self.directory.instances.update(instance.name, instance, now):
                 fresh.append(instance.name)
                 if datagram.introduce:
                     self._broadcasts.add_news(instance.name)
         for server in datagram.servers:
             effects += self._take_server(server, now)
-        self._heartbeats.learn(self.known)
+        self._heartbeats.learn(self.directory)
         for told in datagram.suspects:
             if told.name != self.myself.name and self._heartbeats.suspect(told):
                 effects.append(self._suspected(told.name))
@@ -290,12 +297,12 @@
         lease_s = self.instance_lease_s()
         for name in fresh:
             if name != self.myself.name:
-                self.known.instances.renew(name, now, lease_s)
+                self.directory.instances.renew(name, now, lease_s)
         self._note_part(datagram)
         return effects + self._reply(datagram, now)
 
     def _take_server(self, server: messages.Server, now: float) -> Effects:
-        held = self.known.servers.get(server.server_id)
+        held = self.directory.servers.get(server.server_id)
         if server.state == "gone":
             if held is None:
                 # A tombstone is for those who may hold the server for ready.
@@ -306,9 +313,9 @@
         if mine and self._received.get(server.server_id) is None:
             # What this instance said in an earlier life: not vouched for.
             server = server._replace(monitor="")
-        if not self.known.servers.update(server.server_id, server, now):
+        if not self.directory.servers.update(server.server_id, server, now):
             return []
-        self.known.record_cold(server, now)
+        self.directory.record_cold(server, now)
         if server.state == "gone":
             self._renew(server.server_id, now, monitoring.GONE_S)
         if server.state == "gone" and self._monitoring.vouch(server, now):
@@ -334,7 +341,7 @@
         if not self._whole:
             # The word of the monitor itself may be on its way.
             return True
-        return self.known.instances.get(monitor) is not None
+        return self.directory.instances.get(monitor) is not None
 
     def _note_part(self, datagram: messages.Datagram) -> None:
         if not datagram.parts:
@@ -368,7 +375,7 @@
             )
         if datagram.digest in (
             messages.NO_DIGEST,
-            self.known.digests.whole(),
+            self.directory.digests.whole(),
         ):
             return []
         return self._anti_entropy.ask(asker)
@@ -377,7 +384,7 @@
         for instance in datagram.instances:
             if instance.name == datagram.sender:
                 return instance.gossip_address
-        held = self.known.instances.get(datagram.sender)
+        held = self.directory.instances.get(datagram.sender)
         return held.gossip_address if held is not None else None
 
     def _tell_all(self, address: str, now: float) -> Effects:
@@ -385,8 +392,8 @@
         if now - self._answered.get(address, -math.inf) < WANT_EVERY_S / 2:
             return []
         self._answered[address] = now
-        keys = [one.name for one in self.known.instances.records()]
-        keys += [one.server_id for one in self.known.servers.records()]
+        keys = [one.name for one in self.directory.instances.records()]
+        keys += [one.server_id for one in self.directory.servers.records()]
         answers = self._builder.datagrams(
             keys[: MAX_WANTED * datagram_builder.MAX_RECORDS], now
         )
@@ -403,7 +410,7 @@
         """Spread; due each `PERIOD_S`."""
         self._anti_entropy.renew()
         me = self.myself
-        self.known.instances.renew(me.name, now, self._lease_s)
+        self.directory.instances.renew(me.name, now, self._lease_s)
         self._heartbeats.advance(me.name, me.incarnation, now)
         effects = self._broadcasts.repeat_alarms(now) + self._keep_servers(now)
         suspects = self._failure_detector.find(now)
@@ -411,14 +418,14 @@
         effects += [self._suspected(one.name) for one in suspects]
         effects += [
             effects_module.Changed(_name(word), word.region, "lease-ended")
-            for word in self.known.expire(now)
+            for word in self.directory.expire(now)
             if word.state != "gone"
         ]
-        self._heartbeats.learn(self.known)
+        self._heartbeats.learn(self.directory)
         return effects + self._gossip(now)
 
     def _suspected(self, name: str) -> effects_module.Changed:
-        held = self.known.instances.get(name)
+        held = self.directory.instances.get(name)
         region = held.region if held is not None else ""
         return effects_module.Changed(name, region, "suspected")
 
@@ -433,7 +440,7 @@
 
     def _gossip(self, now: float) -> Effects:
         datagram = self._signs_of_life(now)._replace(
-            digest=self.known.digests.whole(), pull=not self._was_fed
+            digest=self.directory.digests.whole(), pull=not self._was_fed
         )
         self._was_fed = False
         effects: Effects = [
--- a/hyssopfold/core/membership/heartbeats.py
+++ b/hyssopfold/core/membership/heartbeats.py
@@ -46,12 +46,14 @@
         self._counts[name] = _Count(incarnation, count, now)
         self._names[_hash(name, incarnation)] = name
 
-    def learn(self, known: directory.Directory) -> None:
+    def learn(self, member_directory: directory.Directory) -> None:
         """Follow the directory: new lives count anew, dropped ones go."""
-        if self._learned == known.instances.changes:
+        if self._learned == member_directory.instances.changes:
             return
-        self._learned = known.instances.changes
-        words = {word.name: word for word in known.instances.records()}
+        self._learned = member_directory.instances.changes
+        words = {
+            word.name: word for word in member_directory.instances.records()
+        }
         for name, word in words.items():
             held = self._counts.get(name)
             if held is None or held.incarnation != word.incarnation:
--- a/hyssopfold/core/membership/monitoring.py
+++ b/hyssopfold/core/membership/monitoring.py
@@ -24,7 +24,7 @@
 
     Args:
         me: Name of this instance.
-        known: The directory to keep.
+        member_directory: The directory to keep.
         heard: Announcements that came to this instance.
         lease_s: Seconds after which a server that says nothing is gone.
         add_news: Tells all of a server with the next batch.
@@ -33,13 +33,13 @@
     def __init__(
         self,
         me: str,
-        known: directory.Directory,
+        member_directory: directory.Directory,
         heard: received_announcements.ReceivedAnnouncements,
         lease_s: float,
         add_news: Callable[[str], None],
     ) -> None:
         self._me = me
-        self._known = known
+        self._directory = member_directory
         self._heard = heard
         self._lease_s = lease_s
         self._add_news = add_news
@@ -47,11 +47,11 @@
 
     def keep(self, now: float) -> list[messages.Server]:
         """Renew the leases; return the servers that are gone from now on."""
-        alive = {one.name: one for one in self._known.instances.records()}
+        alive = {one.name: one for one in self._directory.instances.records()}
         for one in alive.values():
             self._region_heard[one.region] = now
         gone: list[messages.Server] = []
-        for server in list(self._known.servers.records()):
+        for server in list(self._directory.servers.records()):
             if server.state == "gone":
                 continue
             if server.monitor == self._me:
@@ -69,14 +69,14 @@
         if word is None:
             return False
         word = word._replace(monitor=self._me)
-        if self._known.servers.update(server.server_id, word, now):
+        if self._directory.servers.update(server.server_id, word, now):
             self._add_news(server.server_id)
         return True
 
     def _renew(
         self, server: messages.Server, now: float, lease_s: float
     ) -> None:
-        self._known.servers.renew(server.server_id, now, lease_s)
+        self._directory.servers.renew(server.server_id, now, lease_s)
 
     def _watch(self, server: messages.Server, now: float) -> bool:
         """Return whether a server is gone: it no longer announces itself."""
@@ -92,14 +92,14 @@
             return False
         word = self._heard.get(server.server_id) or server
         word = word._replace(state="gone", monitor=self._me)
-        self._known.servers.update(server.server_id, word, now)
+        self._directory.servers.update(server.server_id, word, now)
         self._renew(server, now, GONE_S)
         return True
 
     def _mostly_silent(self, region: str, now: float) -> bool:
         mine = [
             server.server_id
-            for server in self._known.servers.records()
+            for server in self._directory.servers.records()
             if server.monitor == self._me
             and server.region == region
             and server.state == "ready"
--- a/hyssopfold/core/membership/peer_selection.py
+++ b/hyssopfold/core/membership/peer_selection.py
@@ -33,7 +33,7 @@
     Args:
         me: Name of this instance.
         home: Its region and failure domain.
-        known: Directory of the instances.
+        member_directory: Directory of the instances.
         rng: Source of the choice.
     """
 
@@ -41,21 +41,21 @@
         self,
         me: str,
         home: Domain,
-        known: directory.Directory,
+        member_directory: directory.Directory,
         rng: random.Random,
     ) -> None:
         self._me = me
         self._home = home
-        self._known = known
+        self._directory = member_directory
         self._rng = rng
         self._as_of = -1
         self._by_domain: dict[Domain, list[messages.Instance]] = {}
 
     def _domains(self) -> dict[Domain, list[messages.Instance]]:
-        if self._as_of != self._known.instances.changes:
-            self._as_of = self._known.instances.changes
+        if self._as_of != self._directory.instances.changes:
+            self._as_of = self._directory.instances.changes
             self._by_domain = {}
-            for one in self._known.instances.records():
+            for one in self._directory.instances.records():
                 if one.name != self._me:
                     domain = (one.region, one.failure_domain)
                     self._by_domain.setdefault(domain, []).append(one)
--- a/tests/steps/core/membership/gossip_protocol_steps.py
+++ b/tests/steps/core/membership/gossip_protocol_steps.py
@@ -22,10 +22,10 @@
 
 def _check_all_known(gossip, servers, instances=None):
     for name, node in gossip.live().items():
-        ready = node.known.ready_servers("ledger")
+        ready = node.directory.ready_servers("ledger")
         assert len(ready) == servers, (name, len(ready))
         if instances is not None:
-            known = list(node.known.instances.records())
+            known = list(node.directory.instances.records())
             assert len(known) == instances, (name, len(known))
 
 
@@ -47,7 +47,7 @@
         gossip.run(0.05)
         assert gossip.now < until
     assert node.synced
-    assert len(node.known.ready_servers("ledger")) == count
+    assert len(node.directory.ready_servers("ledger")) == count
 
 
 @when("words get lost at a rate of {loss:g}")
@@ -118,7 +118,7 @@
 
 
 def _servers_of(node, region):
-    ready = node.known.ready_servers("ledger")
+    ready = node.directory.ready_servers("ledger")
     return [one for one in ready if one.region == region]
 
 
@@ -128,7 +128,7 @@
     for name in context.outside:
         node = context.gossip.nodes[name]
         assert not [
-            one for one in node.known.ready_entries() if one.region == "r1"
+            one for one in node.directory.ready_entries() if one.region == "r1"
         ], "its entries are gone"
         assert len(_servers_of(node, "r1")) == 8, name
 
@@ -161,7 +161,7 @@
 def _(context, seconds):
     context.gossip.run(seconds)
     for node in context.gossip.live().values():
-        assert node.known.instances.get(context.name) is None
+        assert node.directory.instances.get(context.name) is None
 
 
 @when("datagrams are doubled and delayed at random for {seconds:d} s")
--- a/tests/steps/core/membership/many_steps.py
+++ b/tests/steps/core/membership/many_steps.py
@@ -37,9 +37,9 @@
 
 def _check_known(gossip):
     for name, node in gossip.live().items():
-        ready = node.known.ready_servers("ledger")
+        ready = node.directory.ready_servers("ledger")
         assert len(ready) == len(gossip.servers), (name, len(ready))
-        known = node.known.instances.size
+        known = node.directory.instances.size
         assert known == len(gossip.nodes), (name, known)
 
 
@@ -57,7 +57,10 @@
 def _(context, times):
     gossip = context.gossip
     node = next(iter(gossip.nodes.values()))
-    words = [*node.known.instances.records(), *node.known.servers.records()]
+    words = [
+        *node.directory.instances.records(),
+        *node.directory.servers.records(),
+    ]
     size = len(msgspec.msgpack.encode(words))
     most = max(gossip.received_bytes.values())
     assert most < times * size, (most, size)
@@ -156,7 +159,7 @@
 def _(context, seconds):
     context.gossip.run(seconds)
     for name, node in context.gossip.live().items():
-        assert node.known.servers.get(ONE) is None, name
+        assert node.directory.servers.get(ONE) is None, name
 
 
 @when("all servers of one of the many instances move to another")
@@ -172,5 +175,5 @@
 def _(context):
     gossip = context.gossip
     for name, node in gossip.live().items():
-        ready = node.known.ready_servers("ledger")
+        ready = node.directory.ready_servers("ledger")
         assert len(ready) == len(gossip.servers) - 1, (name, len(ready))
--- a/tests/support/fake_gossip.py
+++ b/tests/support/fake_gossip.py
@@ -201,14 +201,14 @@
         return [
             name
             for name, node in self.live().items()
-            if node.known.is_cold(server_id, self.now)
+            if node.directory.is_cold(server_id, self.now)
         ]
 
     def ready_at(self, server_id):
         """Return the live instances that take a server for ready."""
         found = []
         for name, node in self.live().items():
-            ready = node.known.ready_servers("ledger")
+            ready = node.directory.ready_servers("ledger")
             if any(one.server_id == server_id for one in ready):
                 found.append(name)
         return found
