--- a/bench/distribution.py
+++ b/bench/distribution.py
@@ -67,11 +67,11 @@
     """
     taken, asks, sent = [], [], []
     for run in range(runs):
-        chosen = [name in ways for name in messages.Ways._fields]
+        chosen = [name in ways for name in messages.UpdateModes._fields]
         net = fake_distribution.FakeNetwork(
             seed * 1000 + run,
             entries=entries,
-            ways=messages.Ways(*chosen),
+            modes=messages.UpdateModes(*chosen),
             fanout=3,
         )
         net.change()
@@ -146,7 +146,7 @@
                 [rpc.Client(address, links) for address in self.addresses],
                 rpc.Clients(links),
                 rng,
-                messages.Ways(),
+                messages.UpdateModes(),
             )
             for n in range(entries)
         ]
--- a/hyssopfold/core/distribution/follower.py
+++ b/hyssopfold/core/distribution/follower.py
@@ -39,7 +39,7 @@
     pull_s: float = 4.0
 
 
-ALL_WAYS = messages.Ways()
+ALL_MODES = messages.UpdateModes()
 USUAL_TIMING = Timing()
 
 
@@ -66,7 +66,7 @@
     Args:
         control: Addresses of the control instances.
         rng: Source of the order of questions and of jitter.
-        ways: Ways by which revisions are learned.
+        modes: Which modes of update are on.
         timing: Seconds between questions.
         unreadable: Returns why this program cannot read a value, or "".
         knows_all: Whether `control` lists all control instances, so that a
@@ -77,7 +77,7 @@
         self,
         control: Sequence[str],
         rng: random.Random,
-        ways: messages.Ways = ALL_WAYS,
+        modes: messages.UpdateModes = ALL_MODES,
         timing: Timing = USUAL_TIMING,
         unreadable: Callable[[bytes], str] = always_readable,
         knows_all: bool = True,
@@ -85,7 +85,7 @@
         self._control = rng.sample(list(control), len(control))
         self._knows_all = knows_all
         self._rng = rng
-        self._ways = ways
+        self._modes = modes
         self._timing = timing
         self._unreadable = unreadable
         self.revision = 0
@@ -134,9 +134,9 @@
         due = [call.deadline for call in self._calls.values()]
         if self.is_behind:
             due.append(self._next_ask)
-        if self._ways.push and self.revision and not self._watching():
+        if self._modes.push and self.revision and not self._watching():
             due.append(self._next_watch)
-        if self._ways.pull and self.revision:
+        if self._modes.pull and self.revision:
             due.append(self._next_pull)
         return min(due, default=messages.NEVER_S)
 
@@ -151,7 +151,7 @@
         return known == 0 or self.wanted > known
 
     def _hear(self, event: messages.Heard, now: float) -> None:
-        if not self._ways.piggyback:
+        if not self._modes.piggyback:
             return
         if event.source and event.revision > self.revision:
             self._peers[event.source] = event.revision
@@ -335,10 +335,14 @@
             self._chase(now, effects)
         if not self.revision:
             return
-        if self._ways.push and not self._watching() and self._next_watch <= now:
+        if (
+            self._modes.push
+            and not self._watching()
+            and self._next_watch <= now
+        ):
             source = self._next_control()
             effects.append(self._ask(source, "watch", now))
-        if self._ways.pull and self._next_pull <= now:
+        if self._modes.pull and self._next_pull <= now:
             spread = self._rng.uniform(0.8, 1.2)
             self._next_pull = now + self._timing.pull_s * spread
             effects.append(self._ask(self._next_control(), "fetch", now))
--- a/hyssopfold/core/distribution/messages.py
+++ b/hyssopfold/core/distribution/messages.py
@@ -19,7 +19,7 @@
     payload: bytes = b""
 
 
-class Ways(NamedTuple):
+class UpdateModes(NamedTuple):
     """Which ways a follower learns of revisions by."""
 
     push: bool = True
--- a/hyssopfold/entry/configuration.py
+++ b/hyssopfold/entry/configuration.py
@@ -57,7 +57,7 @@
         control: Clients to the control instances.
         peers: Makes a client to another entry.
         rng: Source of the order in which instances are asked.
-        ways: Ways by which revisions are learned.
+        modes: Which modes of update are on.
         timing: Seconds between questions.
         knows_all: Whether `control` are all control instances there are.
     """
@@ -68,7 +68,7 @@
         control: list[rpc.Client],
         peers: rpc.Clients,
         rng: random.Random,
-        ways: messages.Ways = follower.ALL_WAYS,
+        modes: messages.UpdateModes = follower.ALL_MODES,
         timing: follower.Timing = follower.USUAL_TIMING,
         knows_all: bool = True,
     ) -> None:
@@ -76,7 +76,7 @@
         self._control = {client.address: client for client in control}
         self._peers = peers
         self._follower = follower.Follower(
-            list(self._control), rng, ways, timing, unreadable, knows_all
+            list(self._control), rng, modes, timing, unreadable, knows_all
         )
         self._inbox, self._events = trio.open_memory_channel[messages.Event](
             _QUEUE
--- a/tests/steps/core/distribution/follower_steps.py
+++ b/tests/steps/core/distribution/follower_steps.py
@@ -29,9 +29,9 @@
 
 @given("distribution by {ways}")
 def _(context, ways):
-    chosen = [name in ways for name in messages.Ways._fields]
+    chosen = [name in ways for name in messages.UpdateModes._fields]
     context.net = fake_distribution.FakeNetwork(
-        SEED, entries=context.entries, ways=messages.Ways(*chosen)
+        SEED, entries=context.entries, modes=messages.UpdateModes(*chosen)
     )
     context.net.change()
     took = context.net.run_until(lambda: context.net.all_at(1), 60)
--- a/tests/support/fake_distribution.py
+++ b/tests/support/fake_distribution.py
@@ -62,14 +62,14 @@
         seed,
         control=3,
         entries=4,
-        ways=follower.ALL_WAYS,
+        modes=follower.ALL_MODES,
         loss=0.0,
         delay=(0.02, 0.06),
         fanout=None,
         timing=follower.USUAL_TIMING,
     ):
         self.rng = random.Random(seed)
-        self.ways, self.loss, self.delay = ways, loss, delay
+        self.modes, self.loss, self.delay = modes, loss, delay
         self.fanout, self.timing = fanout, timing
         self.now = 0.0
         self.cut = set()
@@ -86,7 +86,7 @@
         for n in range(1, entries + 1):
             self.boot(f"entry-{n}")
         for name in [*self.control, *self.entries]:
-            if ways.piggyback:
+            if modes.piggyback:
                 offset = self.rng.uniform(0, GOSSIP_PERIOD_S)
                 self._at(offset, self._gossip, name)
         for name in self.control:
@@ -203,7 +203,7 @@
         core = follower.Follower(
             list(self.control),
             random.Random(self.rng.random()),
-            self.ways,
+            self.modes,
             self.timing,
         )
         self.entries[name] = Entry(name, core)
