--- a/hyssopfold/core/distribution/follower.py
+++ b/hyssopfold/core/distribution/follower.py
@@ -117,11 +117,11 @@
         """Return the effects of `event` at `now`, in seconds."""
         effects: list[messages.Effect] = []
         match event:
-            case messages.Heard():
+            case messages.RevisionReported():
                 self._hear(event, now)
-            case messages.Answered():
+            case messages.PollAnswered():
                 self._answer(event, now, effects)
-            case messages.Failed():
+            case messages.PollFailed():
                 self._fail(event, now)
             case messages.Tick():
                 pass
@@ -150,7 +150,7 @@
         known = max(self.revision, self.skipped)
         return known == 0 or self.wanted > known
 
-    def _hear(self, event: messages.Heard, now: float) -> None:
+    def _hear(self, event: messages.RevisionReported, now: float) -> None:
         if not self._modes.piggyback:
             return
         if event.source and event.revision > self.revision:
@@ -167,11 +167,11 @@
 
     def _answer(
         self,
-        event: messages.Answered,
+        event: messages.PollAnswered,
         now: float,
         effects: list[messages.Effect],
     ) -> None:
-        call = self._calls.pop(event.call, None)
+        call = self._calls.pop(event.poll_id, None)
         if call is None:
             # Later than its deadline: how long it was on its way is not
             # known, so its age cannot be told.
@@ -196,7 +196,7 @@
     def _vouch(
         self,
         call: _Call,
-        event: messages.Answered,
+        event: messages.PollAnswered,
         known_at: float,
         effects: list[messages.Effect],
     ) -> None:
@@ -303,8 +303,8 @@
         }
         effects.append(messages.Install(self.revision, value))
 
-    def _fail(self, event: messages.Failed, now: float) -> None:
-        call = self._calls.pop(event.call, None)
+    def _fail(self, event: messages.PollFailed, now: float) -> None:
+        call = self._calls.pop(event.poll_id, None)
         if call is not None and call.kind == "watch":
             self._delay_watch(now)
         self._ask_soon(now)
@@ -386,7 +386,7 @@
         self._turn = (self._turn + 1) % len(self._control)
         return self._control[self._turn]
 
-    def _ask(self, source: str, kind: str, now: float) -> messages.Ask:
+    def _ask(self, source: str, kind: str, now: float) -> messages.SendPoll:
         self._count += 1
         wait_s = self._timing.hold_s if kind == "watch" else 0.0
         if not self.revision:
@@ -399,6 +399,6 @@
             # No digest fits this one: the whole value is sent.
             have, digest = max(have, self.skipped), b""
         strong = self.revision == 0
-        return messages.Ask(
+        return messages.SendPoll(
             self._count, source, have, digest, wait_s, timeout_s, strong
         )
--- a/hyssopfold/core/distribution/messages.py
+++ b/hyssopfold/core/distribution/messages.py
@@ -31,7 +31,7 @@
     """Time went on to `Follower.next_deadline`."""
 
 
-class Heard(NamedTuple):
+class RevisionReported(NamedTuple):
     """A message of `source` told that it has `revision` in force.
 
     `source` is an address to ask, or empty when it serves no one.
@@ -41,38 +41,38 @@
     revision: int
 
 
-class Answered(NamedTuple):
-    """The answer to an `Ask`.
+class PollAnswered(NamedTuple):
+    """The answer to a `SendPoll`.
 
     `strong` says that a majority confirmed the revision after the question
     was asked; `age_s` is the time since one did so last, `waited_s` how long
     the question was held before it was answered, both in seconds.
     """
 
-    call: int
+    poll_id: int
     update: Update
     strong: bool = False
     age_s: float = NEVER_S
     waited_s: float = 0.0
 
 
-class Failed(NamedTuple):
-    """An `Ask` came to nothing."""
+class PollFailed(NamedTuple):
+    """A `SendPoll` came to nothing."""
 
-    call: int
+    poll_id: int
 
 
-Event = Tick | Heard | Answered | Failed
+Event = Tick | RevisionReported | PollAnswered | PollFailed
 
 
-class Ask(NamedTuple):
+class SendPoll(NamedTuple):
     """Effect: ask `source` for what is above `have`.
 
     It may hold the question for `wait_s` until it has something newer; the
-    call ends in `Answered` or `Failed` within `timeout_s`.
+    call ends in `PollAnswered` or `PollFailed` within `timeout_s`.
     """
 
-    call: int
+    poll_id: int
     source: str
     have: int
     digest: bytes
@@ -97,4 +97,4 @@
     detail: str
 
 
-Effect = Ask | Install | Report
+Effect = SendPoll | Install | Report
--- a/hyssopfold/entry/configuration.py
+++ b/hyssopfold/entry/configuration.py
@@ -109,7 +109,7 @@
         if revision <= self._follower.wanted:
             return
         try:
-            self._inbox.send_nowait(messages.Heard(source, revision))
+            self._inbox.send_nowait(messages.RevisionReported(source, revision))
         except trio.WouldBlock:
             # The next message of anyone tells the same.
             logger.debug(logs.Event("hint-dropped", revision=revision))
@@ -130,7 +130,7 @@
             return await self._events.receive()
         return messages.Tick()
 
-    async def ask(self, effect: messages.Ask) -> None:
+    async def ask(self, effect: messages.SendPoll) -> None:
         """Ask one instance and take its answer in."""
         event: messages.Event
         client = self._control.get(effect.source)
@@ -145,10 +145,10 @@
         )
         try:
             answer = await client.call(poll_wire.POLL, req, effect.timeout_s)
-            event = messages.Answered(effect.call, *answer)
+            event = messages.PollAnswered(effect.poll_id, *answer)
         except errors.PeerUnavailableError as exc:
             logger.debug(logs.Event("poll-failed", to=effect.source, error=exc))
-            event = messages.Failed(effect.call)
+            event = messages.PollFailed(effect.poll_id)
         await self._inbox.send(event)
 
     def install(self, revision: int, encoded: bytes) -> None:
@@ -177,7 +177,9 @@
 
 @_carry.register
 def _(
-    effect: messages.Ask, configuration: Configuration, nursery: trio.Nursery
+    effect: messages.SendPoll,
+    configuration: Configuration,
+    nursery: trio.Nursery,
 ) -> None:
     nursery.start_soon(configuration.ask, effect)
 
--- a/hyssopfold/transport/poll_wire.py
+++ b/hyssopfold/transport/poll_wire.py
@@ -24,7 +24,7 @@
 
 
 class PollAnswer(NamedTuple):
-    """The newest revision known; fields as in `messages.Answered`."""
+    """The newest revision known; fields as in `messages.PollAnswered`."""
 
     update: messages.Update
     strong: bool = False
--- a/tests/steps/core/distribution/follower_steps.py
+++ b/tests/steps/core/distribution/follower_steps.py
@@ -191,7 +191,7 @@
     net = context.net
     before = net.sent_count["ask"]
     for _ in range(seconds):
-        heard = messages.Heard("entry-2", 1_000_000)
+        heard = messages.RevisionReported("entry-2", 1_000_000)
         net._feed("entry-1", net.entries["entry-1"].core, heard)
         net.run(1)
     context.rate = (net.sent_count["ask"] - before) / seconds
@@ -222,7 +222,7 @@
     net.change()
     peer, entry = net.entries["entry-2"].core, net.entries["entry-1"].core
     assert net.run_until(lambda: peer.revision == 2, 1) is not None, seed
-    net._feed("entry-1", entry, messages.Heard("entry-2", 2))
+    net._feed("entry-1", entry, messages.RevisionReported("entry-2", 2))
     return net.run_until(lambda: entry.revision == 2, 10)
 
 
@@ -232,12 +232,14 @@
 
 
 def _asks(effects):
-    return [one for one in effects if isinstance(one, messages.Ask)]
+    return [one for one in effects if isinstance(one, messages.SendPoll)]
 
 
 def _take(context, update, strong=False):
     """Answer the newest question of the follower; return the effects."""
-    answer = messages.Answered(context.ask.call, update, strong, 0.0, 0.0)
+    answer = messages.PollAnswered(
+        context.ask.poll_id, update, strong, 0.0, 0.0
+    )
     effects = context.core.handle(answer, context.now)
     while not _asks(effects):
         context.now = max(context.now, context.core.next_deadline())
--- a/tests/support/fake_distribution.py
+++ b/tests/support/fake_distribution.py
@@ -191,7 +191,9 @@
         waited = self.now - asked_at
         if self.push_lost and waited > 0 and update.payload:
             return
-        answered = messages.Answered(ask.call, update, strong, age, waited)
+        answered = messages.PollAnswered(
+            ask.poll_id, update, strong, age, waited
+        )
         size = FRAME_BYTES + len(msgspec.msgpack.encode(answered))
         arguments = (entry, life, answered)
         self._send("answer", control.name, entry, size, self._feed, *arguments)
@@ -244,7 +246,7 @@
 
     def _carry(self, entry, effect):
         match effect:
-            case messages.Ask():
+            case messages.SendPoll():
                 self._ask(entry, effect)
             case messages.Install():
                 entry.installed.append((effect.revision, self.now))
@@ -270,7 +272,7 @@
             return
         update = peer.recent.update(ask.have, ask.digest)
         age = peer.core.age_s(self.now)
-        answered = messages.Answered(ask.call, update, False, age)
+        answered = messages.PollAnswered(ask.poll_id, update, False, age)
         size = FRAME_BYTES + len(msgspec.msgpack.encode(answered))
         arguments = (entry, life, answered)
         self._send("answer", peer.name, entry, size, self._feed, *arguments)
@@ -289,7 +291,7 @@
         for other in others:
             # The revision itself; the datagram is sent in any case.
             revision = member.recent.revision
-            heard = messages.Heard(name, revision)
+            heard = messages.RevisionReported(name, revision)
             arguments = (other, self.entries[other].core, heard)
             self._send("gossip", name, other, 5, self._feed, *arguments)
 
