--- a/hyssopfold/core/distribution/follower.py
+++ b/hyssopfold/core/distribution/follower.py
@@ -69,8 +69,8 @@
         modes: Which modes of update are on.
         timing: Seconds between questions.
         unreadable: Returns why this program cannot read a value, or "".
-        knows_all: Whether `control` lists all control instances, so that a
-            majority of them can be told. Else only a confirmed answer counts.
+        control_is_complete: Whether `control` lists all control instances, so
+            that a majority can be counted. Else only a confirmed answer counts.
     """
 
     def __init__(
@@ -80,10 +80,10 @@
         modes: messages.UpdateModes = ALL_MODES,
         timing: Timing = USUAL_TIMING,
         unreadable: Callable[[bytes], str] = always_readable,
-        knows_all: bool = True,
+        control_is_complete: bool = True,
     ) -> None:
         self._control = rng.sample(list(control), len(control))
-        self._knows_all = knows_all
+        self._control_is_complete = control_is_complete
         self._rng = rng
         self._modes = modes
         self._timing = timing
@@ -92,9 +92,9 @@
         self.value = b""
         self.digest = rows.digest(b"")
         self.confirmed_at = -messages.NEVER_S
-        self.wanted = 0
+        self.target_revision = 0
         # Newest revision that this older program could not read.
-        self.skipped = 0
+        self.unreadable_revision = 0
         self._calls: dict[int, _Call] = {}
         self._count = 0
         self._whole = False
@@ -147,8 +147,8 @@
     @property
     def is_behind(self) -> bool:
         """Return whether a newer revision is known of than is in force."""
-        known = max(self.revision, self.skipped)
-        return known == 0 or self.wanted > known
+        known = max(self.revision, self.unreadable_revision)
+        return known == 0 or self.target_revision > known
 
     def _hear(self, event: messages.RevisionReported, now: float) -> None:
         if not self._modes.piggyback:
@@ -157,13 +157,13 @@
             self._peers[event.source] = event.revision
             if len(self._peers) > MAX_PEERS:
                 self._peers.pop(next(iter(self._peers)))
-        if event.revision > self.wanted:
+        if event.revision > self.target_revision:
             if not self.is_behind:
                 # The push is likely under way; a short wait spares a
                 # question that would cross with it.
                 self._next_ask = now + self._rng.uniform(*HINT_DELAY_S)
                 self._asks = 0
-            self.wanted = event.revision
+            self.target_revision = event.revision
 
     def _answer(
         self,
@@ -210,7 +210,7 @@
         if call.source not in self._control:
             return
         update = event.update
-        if not event.strong and not self._knows_all:
+        if not event.strong and not self._control_is_complete:
             return
         if not event.strong:
             self._vouched[call.source] = (update, known_at)
@@ -233,7 +233,7 @@
         known_at: float,
         effects: list[messages.Effect],
     ) -> None:
-        if update.revision < max(self.revision, self.skipped):
+        if update.revision < max(self.revision, self.unreadable_revision):
             return
         if update.revision == self.revision:
             if update.digest != self.digest:
@@ -243,14 +243,14 @@
                 return
             self.confirmed_at = max(self.confirmed_at, known_at)
             return
-        if update.revision == self.skipped or not update.payload:
+        if update.revision == self.unreadable_revision or not update.payload:
             return
         value = self._value_of(source, update, effects)
         if value is None:
             return
         detail = self._unreadable(value)
         if detail:
-            self.skipped = update.revision
+            self.unreadable_revision = update.revision
             effects.append(
                 messages.Report("unreadable", source, update.revision, detail)
             )
@@ -357,9 +357,11 @@
             # No one has it: a word that was wrong must not keep every
             # instance asking for ever. The next word starts anew.
             effects.append(
-                messages.Report("not-found", "", self.wanted, "gave up")
+                messages.Report(
+                    "not-found", "", self.target_revision, "gave up"
+                )
             )
-            self.wanted = self.revision
+            self.target_revision = self.revision
             self._peers.clear()
             self._asks = 0
             return
@@ -395,9 +397,9 @@
         timeout_s = wait_s + margin_s
         self._calls[self._count] = _Call(source, kind, now, now + timeout_s)
         have, digest = self.revision, self.digest
-        if self._whole or self.skipped > self.revision:
+        if self._whole or self.unreadable_revision > self.revision:
             # No digest fits this one: the whole value is sent.
-            have, digest = max(have, self.skipped), b""
+            have, digest = max(have, self.unreadable_revision), b""
         strong = self.revision == 0
         return messages.SendPoll(
             self._count, source, have, digest, wait_s, timeout_s, strong
--- a/hyssopfold/entry/configuration.py
+++ b/hyssopfold/entry/configuration.py
@@ -59,7 +59,7 @@
         rng: Source of the order in which instances are asked.
         modes: Which modes of update are on.
         timing: Seconds between questions.
-        knows_all: Whether `control` are all control instances there are.
+        control_is_complete: Whether `control` lists all control instances.
     """
 
     def __init__(
@@ -70,13 +70,18 @@
         rng: random.Random,
         modes: messages.UpdateModes = follower.ALL_MODES,
         timing: follower.Timing = follower.USUAL_TIMING,
-        knows_all: bool = True,
+        control_is_complete: bool = True,
     ) -> None:
         self._name = name
         self._control = {client.address: client for client in control}
         self._peers = peers
         self._follower = follower.Follower(
-            list(self._control), rng, modes, timing, unreadable, knows_all
+            list(self._control),
+            rng,
+            modes,
+            timing,
+            unreadable,
+            control_is_complete,
         )
         self._inbox, self._events = trio.open_memory_channel[messages.Event](
             _QUEUE
@@ -106,7 +111,7 @@
 
         Cheap enough for each message: all but a higher revision ends here.
         """
-        if revision <= self._follower.wanted:
+        if revision <= self._follower.target_revision:
             return
         try:
             self._inbox.send_nowait(messages.RevisionReported(source, revision))
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -122,7 +122,7 @@
             rpc.Clients(links),
             self.rng,
             timing=follower.Timing(hold_s=cfg.poll_s),
-            knows_all=bool(addresses),
+            control_is_complete=bool(addresses),
         )
 
     def _placement(
