--- a/hyssopfold/core/distribution/history.py
+++ b/hyssopfold/core/distribution/history.py
@@ -68,7 +68,7 @@
         ):
             self._row_count -= self._held.popleft().row_count
 
-    def update(self, have: int, digest: bytes) -> messages.Update:
+    def update_since(self, have: int, digest: bytes) -> messages.Update:
         """Return what brings a follower at `have` to the newest revision.
 
         A difference, when the follower's revision is still held and its
--- a/hyssopfold/transport/publisher.py
+++ b/hyssopfold/transport/publisher.py
@@ -65,7 +65,7 @@
             logger.warning(logs.Event("poll-not-held", asker=req.instance))
         now = trio.current_time()
         return poll_wire.PollAnswer(
-            self.recent.update(req.have, req.digest),
+            self.recent.update_since(req.have, req.digest),
             strong,
             min(self._age_s(now), messages.NEVER_S),
             now - began,
--- a/tests/steps/core/distribution/difference_steps.py
+++ b/tests/steps/core/distribution/difference_steps.py
@@ -62,12 +62,12 @@
 def _(context, have):
     context.have = have
     mark = rows.digest(context.values[have])
-    context.update = context.recent.update(have, mark)
+    context.update = context.recent.update_since(have, mark)
 
 
 @when("a distribution follower with another value at revision 1 is answered")
 def _(context):
-    context.update = context.recent.update(1, rows.digest(b"[]"))
+    context.update = context.recent.update_since(1, rows.digest(b"[]"))
 
 
 @then("the distribution answer takes less than {limit:d} bytes")
--- a/tests/support/fake_distribution.py
+++ b/tests/support/fake_distribution.py
@@ -186,7 +186,7 @@
             self._answer(control, *question)
 
     def _answer(self, control, entry, life, ask, strong, asked_at):
-        update = control.recent.update(ask.have, ask.digest)
+        update = control.recent.update_since(ask.have, ask.digest)
         age = self.now - control.confirmed_at
         waited = self.now - asked_at
         if self.push_lost and waited > 0 and update.payload:
@@ -270,7 +270,7 @@
     def _serve_peer(self, peer, entry, life, ask):
         if not peer.running:
             return
-        update = peer.recent.update(ask.have, ask.digest)
+        update = peer.recent.update_since(ask.have, ask.digest)
         age = peer.core.age_s(self.now)
         answered = messages.PollAnswered(ask.poll_id, update, False, age)
         size = FRAME_BYTES + len(msgspec.msgpack.encode(answered))
