--- a/hyssopfold/core/membership/__init__.py
+++ b/hyssopfold/core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Who is there: backend servers and instances, under leases."""
+"""Membership of backend servers and instances, kept under leases."""
--- a/hyssopfold/core/membership/anti_entropy.py
+++ b/hyssopfold/core/membership/anti_entropy.py
@@ -1,4 +1,7 @@
-"""Repair of what was lost: instances compare hashes and tell what differs."""
+"""Anti-entropy: two instances compare hashes and exchange what differs.
+
+It repairs what was lost with earlier datagrams.
+"""
 
 import random
 
@@ -13,12 +16,12 @@
 
 
 class AntiEntropy:
-    """Compare what two instances know.
+    """Compares two directories by their hashes, for the gossip protocol.
 
     Args:
-        builder: Makes the datagrams.
-        member_directory: What this instance knows.
-        rng: Draws the parts that are told of first.
+        builder: Builds the datagrams.
+        member_directory: Directory of this instance.
+        rng: Draws the order in which differing buckets are sent.
     """
 
     def __init__(
@@ -30,31 +33,31 @@
         self._builder = builder
         self._directory = member_directory
         self._rng = rng
-        self._left = MAX_COMPARISONS
+        self._comparisons_left = MAX_COMPARISONS
 
     def renew(self) -> None:
-        """Allow as many comparisons again; due each period."""
-        self._left = MAX_COMPARISONS
+        """Allow `MAX_COMPARISONS` more; due each period."""
+        self._comparisons_left = MAX_COMPARISONS
 
     def ask(self, address: str) -> list[effects.Effect]:
-        """Send the hashes of all parts to an instance that knows otherwise."""
-        if not self._left:
+        """Send the hashes of all buckets to an instance whose hash differs."""
+        if not self._comparisons_left:
             return []
-        self._left -= 1
-        mine = self._directory.digests.packed()
-        question = self._builder.empty()._replace(buckets=mine, compare=True)
+        self._comparisons_left -= 1
+        hashes = self._directory.digests.packed()
+        question = self._builder.empty()._replace(buckets=hashes, compare=True)
         return [effects.Send(address, question, "compare")]
 
     def answer(
         self, address: str, buckets: bytes, compare: bool, now: float
     ) -> list[effects.Effect]:
-        """Tell what is known in the buckets that differ.
+        """Send this instance's records in the buckets that differ.
 
-        The asker may be the one that knows more: the last datagram brings the
-        hashes here, by which it answers once.
+        The asker may have newer records: the last datagram contains the
+        hashes of this instance, and the asker answers it once.
 
         Args:
-            address: The asker's.
+            address: Address of the asker.
             buckets: Its hashes.
             compare: Whether it is to answer in turn.
             now: Monotonic time in seconds.
@@ -65,14 +68,14 @@
         self._rng.shuffle(differing)
         keys = [
             key
-            for number in differing
-            for key in self._directory.digests.keys(number)
+            for bucket in differing
+            for key in self._directory.digests.keys(bucket)
         ]
         answers = self._builder.datagrams(
             keys[: datagram_builder.MAX_RECORDS * MAX_ANSWERS], now
         )
         if compare:
             last = answers.pop() if answers else self._builder.empty()
-            mine = self._directory.digests.packed()
-            answers.append(last._replace(buckets=mine))
+            hashes = self._directory.digests.packed()
+            answers.append(last._replace(buckets=hashes))
         return [effects.Send(address, answer, "compare") for answer in answers]
--- a/hyssopfold/core/membership/broadcasts.py
+++ b/hyssopfold/core/membership/broadcasts.py
@@ -1,4 +1,4 @@
-"""News and alarms to all instances, through relays in other failure domains."""
+"""Broadcasts to all instances, through relays in other failure domains."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -8,12 +8,12 @@
 from hyssopfold.core.membership import messages
 from hyssopfold.core.membership import peer_selection
 
-# How long news of members that come are gathered, to travel together.
+# How long records of new members are collected, to be sent together.
 BATCH_S = 0.2
 # How often it is repeated that a server leaves, is gone or is cold again.
 ALARM_REPEATS = 2
-# Instances of each other failure domain that pass on what they are told: an
-# alarm must get there although one of them has just died.
+# Instances of each other failure domain that relay a broadcast there: an
+# alarm must arrive although one relay has just died.
 NEWS_RELAYS = 1
 ALARM_RELAYS = 2
 
@@ -21,12 +21,15 @@
 
 
 class Broadcasts:
-    """Tell all instances of changes.
+    """Broadcasts changed records to all instances, for the gossip protocol.
+
+    News are records of new or changed members, sent once in batches. Alarms
+    are sent at once, through more relays, and are repeated.
 
     Args:
-        builder: Makes the datagrams.
-        peer_selector: Knows the other instances.
-        is_live: Whether an instance, by name, is fit to be a relay at a time.
+        builder: Builds the datagrams.
+        peer_selector: Returns the recipients.
+        is_live: Whether an instance, by name, can be a relay at a time.
     """
 
     def __init__(
@@ -38,18 +41,18 @@
         self._builder = builder
         self._peer_selector = peer_selector
         self._is_live = is_live
-        # What waits for the next batch, and whether it must not be lost.
+        # Keys of the next batch, and whether each is sent as an alarm.
         self._news: dict[str, bool] = {}
-        # How often more it is to be told that one leaves or is gone.
-        self._alarms_left: dict[str, int] = {}
+        # How often each alarm is still to be repeated.
+        self._repeats_left: dict[str, int] = {}
 
     def add_news(self, key: str, *, is_alarm: bool = False) -> None:
-        """Tell all of a server or instance with the next batch.
+        """Add the record of a server or instance to the next batch.
 
         Args:
             key: Its id or name.
-            is_alarm: Whether it is told through as many relays, and as often,
-                as that one leaves.
+            is_alarm: Whether the record is sent as an alarm, through as many
+                relays and as often as that a server leaves.
         """
         self._news[key] = is_alarm or self._news.get(key, False)
 
@@ -59,53 +62,53 @@
         return bool(self._news)
 
     def flush(self, now: float) -> Sends:
-        """Tell the news; due `BATCH_S` after the first of them."""
-        waiting, self._news = self._news, {}
-        news = [key for key, is_alarm in waiting.items() if not is_alarm]
-        alarms = [key for key, is_alarm in waiting.items() if is_alarm]
-        sends = self._tell(news, "news", NEWS_RELAYS, now)
+        """Send the batch; due `BATCH_S` after the first `add_news`."""
+        batch, self._news = self._news, {}
+        news = [key for key, is_alarm in batch.items() if not is_alarm]
+        alarms = [key for key, is_alarm in batch.items() if is_alarm]
+        sends = self._broadcast(news, "news", NEWS_RELAYS, now)
         return sends + self.alarm(alarms, now)
 
     def alarm(self, keys: Sequence[str], now: float) -> Sends:
-        """Tell at once of members that need care, and a few times more.
+        """Send the records of some members at once, to be repeated.
 
-        One that leaves must get no new work, and in local placement entries
-        of any region send to it.
+        A server that leaves must get no new work, and in local placement
+        entries of any region send to it.
         """
         for key in keys:
             self._news.pop(key, None)
-            self._alarms_left[key] = ALARM_REPEATS
-        return self._tell(keys, "alarm", ALARM_RELAYS, now)
+            self._repeats_left[key] = ALARM_REPEATS
+        return self._broadcast(keys, "alarm", ALARM_RELAYS, now)
 
     def repeat_alarms(self, now: float) -> Sends:
-        """Repeat what must not be lost on its way; due each period."""
-        keys = list(self._alarms_left)
+        """Repeat the alarms, since datagrams are lost; due each period."""
+        keys = list(self._repeats_left)
         for key in keys:
-            self._alarms_left[key] -= 1
-            if not self._alarms_left[key]:
-                del self._alarms_left[key]
-        return self._tell(keys, "alarm", ALARM_RELAYS, now)
+            self._repeats_left[key] -= 1
+            if not self._repeats_left[key]:
+                del self._repeats_left[key]
+        return self._broadcast(keys, "alarm", ALARM_RELAYS, now)
 
     def suspect(
         self, suspects: tuple[messages.Suspicion, ...], now: float
     ) -> Sends:
-        """Tell which instances their failure domain no longer hears."""
+        """Broadcast which instances their own failure domain suspects."""
         if not suspects:
             return []
         datagram = self._builder.empty()._replace(suspects=suspects)
         return self._send(datagram, "alarm", ALARM_RELAYS, now)
 
-    def pass_on(self, datagram: messages.Datagram) -> Sends:
-        """Relay a datagram to this failure domain if it asks for that."""
+    def relay(self, datagram: messages.Datagram) -> Sends:
+        """Forward a datagram to this failure domain if it asks for that."""
         if not datagram.relay:
             return []
-        passed = datagram._replace(relay=False)
+        forwarded = datagram._replace(relay=False)
         return [
-            effects.Send(one.gossip_address, passed, "news")
-            for one in self._peer_selector.own_domain()
+            effects.Send(instance.gossip_address, forwarded, "news")
+            for instance in self._peer_selector.own_domain()
         ]
 
-    def _tell(
+    def _broadcast(
         self,
         keys: Sequence[str],
         purpose: effects.Purpose,
@@ -127,9 +130,11 @@
         relayed = datagram._replace(relay=True)
         return [
             effects.Send(
-                to.address, relayed if to.relays else datagram, purpose
+                recipient.address,
+                relayed if recipient.relays else datagram,
+                purpose,
             )
-            for to in self._peer_selector.everyone(
+            for recipient in self._peer_selector.broadcast_recipients(
                 relays, lambda name: self._is_live(name, now)
             )
         ]
--- a/hyssopfold/core/membership/datagram_builder.py
+++ b/hyssopfold/core/membership/datagram_builder.py
@@ -1,49 +1,59 @@
-"""Datagrams of an instance, with its own word and others' as they are held."""
+"""Datagrams of an instance, built from its own record and its directory."""
 
 from collections.abc import Sequence
 
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import messages
 
-# Records in one datagram: compressed, some 1,000 bytes.
+# Records in one datagram: compressed, about 1,000 bytes.
 MAX_RECORDS = 32
 
 
 class DatagramBuilder:
-    """Make datagrams.
+    """Builds the datagrams of the gossip protocol.
 
     Args:
-        myself: This instance's own word; replaced when it changes.
-        member_directory: Directory of the words.
+        myself: This instance's own record; replaced when it changes.
+        member_directory: Directory of the records.
     """
 
     def __init__(
-        self, myself: messages.Instance, member_directory: directory.Directory
+        self,
+        myself: messages.Instance,
+        member_directory: directory.Directory,
     ) -> None:
         self.myself = myself
         self._directory = member_directory
 
     def empty(self) -> messages.Datagram:
-        """Return a datagram that brings the revision alone."""
+        """Return a datagram with this instance's revision alone."""
         return messages.Datagram(self.myself.name, self.myself.revision, (), ())
 
     def introduction(self) -> messages.Datagram:
-        """Return a datagram with this instance's own word."""
+        """Return a datagram with this instance's own record."""
         return self.empty()._replace(instances=(self.myself,))
 
     def datagrams(
         self, keys: Sequence[str], now: float
     ) -> list[messages.Datagram]:
-        """Return datagrams with the words of some members, as of now."""
+        """Return datagrams with the current records of some members.
+
+        Args:
+            keys: Ids of servers and names of instances.
+            now: Monotonic time in seconds.
+        """
         return [
-            self._with_words(keys[at : at + MAX_RECORDS], now)
-            for at in range(0, len(keys), MAX_RECORDS)
+            self._with_records(keys[start : start + MAX_RECORDS], now)
+            for start in range(0, len(keys), MAX_RECORDS)
         ]
 
-    def _with_words(self, keys: Sequence[str], now: float) -> messages.Datagram:
-        """Return a datagram with some words, and this instance's own.
+    def _with_records(
+        self, keys: Sequence[str], now: float
+    ) -> messages.Datagram:
+        """Return a datagram with some records, and this instance's own.
 
-        Who has not heard of a server's monitor does not take the server in.
+        The own record is needed since a receiver that does not know a
+        server's monitor ignores the server's record.
         """
         instances = [self.myself]
         servers = []
--- a/hyssopfold/core/membership/digests.py
+++ b/hyssopfold/core/membership/digests.py
@@ -1,4 +1,4 @@
-"""Hashes of the words that are held, for comparison with another instance."""
+"""Hashes of the records, for comparison with another instance."""
 
 import struct
 import zlib
@@ -8,10 +8,11 @@
 
 
 class Digests:
-    """Hash of each bucket of words, kept current with every change.
+    """Hash of each bucket of records, updated with every change.
 
-    A bucket's hash is the exclusive or of the hashes of its words, so that a
-    change costs the same however many words there are.
+    A bucket's hash is the exclusive or of the hashes of its records, so that
+    the cost of a change does not depend on the number of records. Used by
+    the leases, which update it, and by anti-entropy.
     """
 
     def __init__(self) -> None:
@@ -20,52 +21,58 @@
         self._keys: list[set[str]] = [set() for _ in range(BUCKETS)]
 
     def put(self, key: str, version: object) -> None:
-        """Take in the version of the word of `key`."""
+        """Store the version of the record of `key`."""
         self._clear(key)
-        self._hashes[key] = held = zlib.crc32(f"{key} {version}".encode())
-        self._buckets[_bucket(key)] ^= held
+        self._hashes[key] = record_hash = zlib.crc32(
+            f"{key} {version}".encode()
+        )
+        self._buckets[_bucket(key)] ^= record_hash
         self._keys[_bucket(key)].add(key)
 
     def put_tombstone(self, key: str) -> None:
-        """Keep `key` among those of its bucket, but out of the hash.
+        """Keep `key` among the keys of its bucket, but out of the hash.
 
-        Instances forget a tombstone at different times; in the hash, it would
-        make them differ, and pass it round for ever.
+        Instances drop a tombstone at different times. If it were hashed,
+        their hashes would differ, and they would send it to each other
+        forever.
         """
         self._clear(key)
         self._keys[_bucket(key)].add(key)
 
     def drop(self, key: str) -> None:
-        """Forget the word of `key`."""
+        """Remove the record of `key`."""
         self._clear(key)
         self._keys[_bucket(key)].discard(key)
 
     def _clear(self, key: str) -> None:
         self._buckets[_bucket(key)] ^= self._hashes.pop(key, 0)
 
-    def whole(self) -> int:
-        """Return one hash of all words."""
+    def combined(self) -> int:
+        """Return one hash of all records."""
         return zlib.crc32(self.packed())
 
     def packed(self) -> bytes:
-        """Return the hash of each bucket, as it travels."""
+        """Return the hash of each bucket, encoded for a datagram."""
         return _PACKED.pack(*self._buckets)
 
     def differing(self, packed: bytes) -> list[int]:
-        """Return the buckets in which another instance's hashes differ."""
+        """Return the numbers of the buckets whose hashes differ.
+
+        Args:
+            packed: Hashes of another instance, as `packed` returns them.
+        """
         if len(packed) != _PACKED.size:
-            # A program with another number of buckets: nothing compares.
+            # A version of the program with another number of buckets: all
+            # of them count as different.
             return list(range(BUCKETS))
         pairs = zip(self._buckets, _PACKED.unpack(packed), strict=True)
         return [
-            number
-            for number, (mine, other) in enumerate(pairs)
-            if mine != other
+            bucket for bucket, (own, other) in enumerate(pairs) if own != other
         ]
 
-    def keys(self, number: int) -> list[str]:
-        """Return the keys in a bucket, in a steady order."""
-        return sorted(self._keys[number])
+    def keys(self, bucket: int) -> list[str]:
+        """Return the keys in a bucket, sorted."""
+        return sorted(self._keys[bucket])
 
 
 def _bucket(key: str) -> int:
--- a/hyssopfold/core/membership/directory.py
+++ b/hyssopfold/core/membership/directory.py
@@ -1,4 +1,4 @@
-"""Who is there: the newest word of each server and instance, under leases."""
+"""Directory of members: the newest record of each server and instance."""
 
 from collections.abc import Iterable
 import math
@@ -10,120 +10,127 @@
 from hyssopfold.core.membership import messages
 
 MAX_RECORDS = 20_000
-# Two words of one cold spell tell its end no further apart than they were on
-# their way; later by more, the server has become cold again.
-_SAME_S = 0.75
+# Announcements within one cold period give ends that differ by no more than
+# their transmission times do. If the end moves later by more than this, the
+# server has become cold again.
+_COLD_END_TOLERANCE_S = 0.75
 
 Record = TypeVar("Record", messages.Server, messages.Instance)
 
 
-class _Held(NamedTuple, Generic[Record]):
-    word: Record
-    expires: float
+class _Lease(NamedTuple, Generic[Record]):
+    record: Record
+    expires_at: float
 
 
 class Leases(Generic[Record]):
-    """Keep the newest word of each member until its lease ends.
+    """The newest record of each server or instance, until its lease ends.
 
     Args:
-        lease_s: Seconds that a word holds without a newer one.
-        hashed: Hashes to keep current with the words.
+        lease_s: Seconds until a record expires unless a newer one comes.
+        hashes: Hashes to update with the records.
     """
 
-    def __init__(self, lease_s: float, hashed: digests.Digests) -> None:
+    def __init__(self, lease_s: float, hashes: digests.Digests) -> None:
         self._lease_s = lease_s
-        self._hashed = hashed
-        self._held: dict[str, _Held[Record]] = {}
-        # Grows with each change of the words; a renewal is none.
+        self._hashes = hashes
+        self._leases: dict[str, _Lease[Record]] = {}
+        # Counts changes of the records; a renewal of a lease is none.
         self.changes = 0
 
-    def update(self, key: str, word: Record, now: float) -> bool:
-        """Take a word in; return whether it was newer than what is held.
+    def update(self, key: str, record: Record, now: float) -> bool:
+        """Store a record if it is newer; return whether it was stored.
 
-        Doubled and late words are ignored, and `leaving` is final for an
-        incarnation: a crossed `ready` that was sent before it arrives late
-        and must not bring the server back.
+        Duplicate and late records are ignored. `leaving` is final for an
+        incarnation: a `ready` that was sent before it and arrives after it
+        must not bring the server back.
         """
-        held = self._held.get(key)
-        if held is not None and not _is_newer(word, held.word):
+        lease = self._leases.get(key)
+        if lease is not None and not _is_newer(record, lease.record):
             return False
-        if held is None and len(self._held) >= MAX_RECORDS:
+        if lease is None and len(self._leases) >= MAX_RECORDS:
             return False
-        if _left(held, word):
-            word = word._replace(state="leaving")
-        self._held[key] = _Held(word, now + self._lease_s)
-        if word.state == "gone":
-            self._hashed.put_tombstone(key)
+        if _has_left(lease, record):
+            record = record._replace(state="leaving")
+        self._leases[key] = _Lease(record, now + self._lease_s)
+        if record.state == "gone":
+            self._hashes.put_tombstone(key)
         else:
-            version = (word.incarnation, word.sequence, word.state)
-            self._hashed.put(key, version)
+            version = (record.incarnation, record.sequence, record.state)
+            self._hashes.put(key, version)
         self.changes += 1
         return True
 
     def renew(self, key: str, now: float, lease_s: float) -> None:
-        """Let the word of `key` hold for at least `lease_s` more seconds."""
-        held = self._held.get(key)
-        if held is not None and held.expires < now + lease_s:
-            self._held[key] = held._replace(expires=now + lease_s)
+        """Extend the lease of `key` to at least `lease_s` seconds from now."""
+        lease = self._leases.get(key)
+        if lease is not None and lease.expires_at < now + lease_s:
+            self._leases[key] = lease._replace(expires_at=now + lease_s)
 
     def expire(self, now: float) -> list[Record]:
-        """Drop and return the words whose lease has ended."""
-        ended = [key for key, held in self._held.items() if held.expires <= now]
-        self.changes += len(ended)
-        for key in ended:
-            self._hashed.drop(key)
-        return [self._held.pop(key).word for key in ended]
+        """Drop and return the records whose lease has ended."""
+        expired = [
+            key
+            for key, lease in self._leases.items()
+            if lease.expires_at <= now
+        ]
+        self.changes += len(expired)
+        for key in expired:
+            self._hashes.drop(key)
+        return [self._leases.pop(key).record for key in expired]
 
     def records(self) -> Iterable[Record]:
-        """Return all words that are held."""
-        return [held.word for held in self._held.values()]
+        """Return all records."""
+        return [lease.record for lease in self._leases.values()]
 
     @property
     def size(self) -> int:
-        """Return how many words are held."""
-        return len(self._held)
+        """Return the number of records."""
+        return len(self._leases)
 
     def get(self, key: str) -> Record | None:
-        """Return the word of `key`."""
-        held = self._held.get(key)
-        return held.word if held is not None else None
+        """Return the record of `key`, None if there is none."""
+        lease = self._leases.get(key)
+        return lease.record if lease is not None else None
 
     def left_s(self, key: str, now: float) -> float:
-        """Return the seconds that the word of `key` still holds, 0 if none."""
-        held = self._held.get(key)
-        return held.expires - now if held is not None else 0.0
+        """Return the seconds left of the lease of `key`, 0 without one."""
+        lease = self._leases.get(key)
+        return lease.expires_at - now if lease is not None else 0.0
 
     def age_s(self, key: str, now: float) -> float:
-        """Return the seconds since the word of `key` came, or was renewed.
+        """Return the seconds since the record of `key` came or was renewed.
 
         Infinite when there is none.
         """
-        held = self._held.get(key)
-        return now - (held.expires - self._lease_s) if held else math.inf
+        lease = self._leases.get(key)
+        return now - (lease.expires_at - self._lease_s) if lease else math.inf
 
 
 def _is_newer(
-    word: messages.Server | messages.Instance,
-    held: messages.Server | messages.Instance,
+    record: messages.Server | messages.Instance,
+    other: messages.Server | messages.Instance,
 ) -> bool:
-    # `gone` comes from the monitor, under the last number that it heard.
-    mine = (word.incarnation, word.sequence, word.state == "gone")
-    return mine > (held.incarnation, held.sequence, held.state == "gone")
+    # The monitor sets `gone` under the last sequence number that it received.
+    version = (record.incarnation, record.sequence, record.state == "gone")
+    return version > (other.incarnation, other.sequence, other.state == "gone")
 
 
-def _left(held: _Held[Record] | None, word: Record) -> bool:
-    if held is None or held.word.state != "leaving":
+def _has_left(lease: _Lease[Record] | None, record: Record) -> bool:
+    if lease is None or lease.record.state != "leaving":
         return False
-    if word.state == "gone":
+    if record.state == "gone":
         return False
-    return held.word.incarnation == word.incarnation
+    return lease.record.incarnation == record.incarnation
 
 
 class Directory:
     """All servers and instances that this process knows of.
 
+    Kept by the gossip protocol; routing, placement and look-ups read it.
+
     Args:
-        lease_s: Seconds after which a silent one is taken for gone.
+        lease_s: Seconds after which a silent server or instance is dropped.
     """
 
     def __init__(self, lease_s: float) -> None:
@@ -133,16 +140,16 @@
         self.instances: Leases[messages.Instance] = Leases(
             lease_s, self.digests
         )
-        # Asked for with each request: sorted out once a change, not each time.
+        # Read with each request, so computed once a change of the records.
         self._pools: dict[str, tuple[messages.Server, ...]] = {}
-        self._pools_of = -1
+        self._pools_version = -1
         self._entries: tuple[messages.Instance, ...] = ()
-        self._entries_of = -1
+        self._entries_version = -1
 
     def merge(
         self, datagram: messages.Datagram, now: float
     ) -> tuple[messages.Server, ...]:
-        """Take in what another process told; return the servers' news."""
+        """Store the records of a datagram; return the servers that changed."""
         for instance in datagram.instances:
             self.instances.update(instance.name, instance, now)
         return tuple(
@@ -152,15 +159,23 @@
         )
 
     def record_cold(self, server: messages.Server, now: float) -> bool:
-        """Take in how long a server stays cold; return whether it is news."""
+        """Record how long a server stays cold.
+
+        Returns:
+            Whether the server has become cold, or cold again.
+        """
         until = now + server.cold_left_s if server.cold_left_s > 0 else 0.0
-        news = until > self._cold_until.get(server.server_id, 0.0) + _SAME_S
-        if news or not until:
+        became_cold = (
+            until
+            > self._cold_until.get(server.server_id, 0.0)
+            + _COLD_END_TOLERANCE_S
+        )
+        if became_cold or not until:
             self._cold_until[server.server_id] = until
-        return news
+        return became_cold
 
     def cold_until(self, server_id: str) -> float:
-        """Return until when a server says that it is cold; 0 if it does not."""
+        """Return the time until which a server says it is cold, else 0."""
         return self._cold_until.get(server_id, 0.0)
 
     def is_cold(self, server_id: str, now: float) -> bool:
@@ -168,19 +183,19 @@
         return self.cold_until(server_id) > now
 
     def expire(self, now: float) -> list[messages.Server | messages.Instance]:
-        """Drop and return all whose lease has ended."""
-        ended = self.servers.expire(now)
-        for server in ended:
+        """Drop and return all records whose lease has ended."""
+        expired = self.servers.expire(now)
+        for server in expired:
             self._cold_until.pop(server.server_id, None)
-        return [*ended, *self.instances.expire(now)]
+        return [*expired, *self.instances.expire(now)]
 
     def ready_servers(self, pool: str) -> tuple[messages.Server, ...]:
         """Return the servers of `pool` that may get new work.
 
         The same object until a server changes.
         """
-        if self._pools_of != self.servers.changes:
-            self._pools_of = self.servers.changes
+        if self._pools_version != self.servers.changes:
+            self._pools_version = self.servers.changes
             self._pools = _by_pool(self.servers.records())
         return self._pools.get(pool, ())
 
@@ -189,8 +204,8 @@
 
         The same object until an instance changes.
         """
-        if self._entries_of != self.instances.changes:
-            self._entries_of = self.instances.changes
+        if self._entries_version != self.instances.changes:
+            self._entries_version = self.instances.changes
             self._entries = tuple(
                 instance
                 for instance in self.instances.records()
@@ -202,8 +217,8 @@
 def _by_pool(
     servers: Iterable[messages.Server],
 ) -> dict[str, tuple[messages.Server, ...]]:
-    found: dict[str, list[messages.Server]] = {}
+    by_pool: dict[str, list[messages.Server]] = {}
     for server in servers:
         if server.state == "ready":
-            found.setdefault(server.pool, []).append(server)
-    return {pool: tuple(held) for pool, held in found.items()}
+            by_pool.setdefault(server.pool, []).append(server)
+    return {pool: tuple(members) for pool, members in by_pool.items()}
--- a/hyssopfold/core/membership/effects.py
+++ b/hyssopfold/core/membership/effects.py
@@ -1,4 +1,4 @@
-"""What the caller of gossip's decisions is to carry out."""
+"""Effects of the gossip protocol, which its caller executes."""
 
 from typing import Literal
 from typing import NamedTuple
@@ -9,9 +9,9 @@
 
 
 class Send(NamedTuple):
-    """Effect: carry a datagram to a UDP address; it may be lost.
+    """Effect: send a datagram to a UDP address; it may be lost.
 
-    `purpose` tells metrics what the bytes are spent on.
+    `purpose` labels the bytes in metrics.
     """
 
     address: str
@@ -20,9 +20,10 @@
 
 
 class Changed(NamedTuple):
-    """Effect: log what became of a member.
+    """Effect: log a change of a member's state.
 
-    `cold_left_s` is how much longer a server says that it stays cold.
+    `cold_left_s` is for how many more seconds a server says that it stays
+    cold.
     """
 
     member: str
--- a/hyssopfold/core/membership/gossip_protocol.py
+++ b/hyssopfold/core/membership/gossip_protocol.py
@@ -1,4 +1,4 @@
-"""Spreading who is there between our processes, by gossip."""
+"""Gossip protocol that replicates the directory between the instances."""
 
 from collections.abc import Iterable
 import math
@@ -18,35 +18,40 @@
 from hyssopfold.core.membership import received_announcements
 
 PERIOD_S = 0.5
-# By then all that can be reached know of a change (docs/design/placement.md).
+# By then a change has reached all instances that can be reached
+# (docs/design/placement.md).
 PROPAGATION_S = 3.0
 SPARE_ROUNDS = 4
 ROUNDS_PER_DOUBLING = 2
-# Control instances that are asked to tell all of a new or changed instance.
+# Control instances that are asked to broadcast a new or changed instance.
 INTRODUCERS = 2
-# Share of an instance's lease after which it is named to callers no more.
+# Share of its lease after which a silent instance is no longer in answers to
+# look-ups.
 SUSPECT_SHARE = 0.6
-# A fresh process that hears no one goes on alone after this time.
-ALONE_S = 2.0
-WANT_EVERY_S = 0.5
-MAX_WANTED = 512
+# A new process that gets no answer starts without the others after this time.
+START_ALONE_S = 2.0
+WANT_INTERVAL_S = 0.5
+# Datagrams of an answer to a request for all records.
+MAX_WANT_DATAGRAMS = 512
 
 Effects = list[effects_module.Effect]
 
 
 class GossipProtocol:
-    """Keep and spread the directory.
+    """The directory of one instance and its exchange with other instances.
 
-    Each server is heard by one instance, its monitor, which tells the others
-    only what changes; signs of life of the instances stand for all that they
-    monitor. So what is sent does not grow with the servers' announcements.
-    News and alarms go to all at once, through relays in other failure domains;
-    comparing hashes with others each period finds what was lost on its way.
+    Each server announces itself to one instance, its monitor, which sends the
+    others only what changes; the heartbeats of an instance stand for all
+    servers that it monitors. So the traffic does not grow with the servers'
+    announcements. Changes are broadcast at once, through relays in other
+    failure domains; comparing hashes with peers each period finds what was
+    lost on the way. `transport.gossip.Gossip` calls it and executes its
+    effects.
 
     Args:
-        myself: This instance's own word.
+        myself: This instance's own record.
         seeds: UDP addresses of some other instances.
-        member_directory: The directory to keep.
+        member_directory: The directory to update.
         lease_s: Seconds after which a silent server or instance is gone.
         rng: Source of the choice of peers.
         now: Monotonic seconds of the start.
@@ -66,7 +71,7 @@
         self._seeds = tuple(seeds)
         self._lease_s = lease_s
         self._rng = rng
-        self._started = now
+        self._started_at = now
         self._heartbeats = heartbeats.Heartbeats()
         self._received = received_announcements.ReceivedAnnouncements(lease_s)
         self._peer_selector = peer_selection.PeerSelector(
@@ -101,36 +106,38 @@
             lease_s,
             self._broadcasts.add_news,
         )
-        # Whether signs of life came in the period.
-        self._was_fed = True
+        # Whether heartbeats were received in this period.
+        self._got_heartbeats = True
         self._wanted_at = -math.inf
-        self._wanted: dict[str, set[int]] = {}
-        self._whole = False
-        self._answered: dict[str, float] = {}
-        self._note_self(now)
+        # Numbers of the datagrams received of each peer's full answer.
+        self._received_parts: dict[str, set[int]] = {}
+        self._synced = False
+        self._answered_at: dict[str, float] = {}
+        self._record_self(now)
 
     @property
     def myself(self) -> messages.Instance:
-        """Return this instance's own word."""
+        """Return this instance's own record."""
         return self._builder.myself
 
     def set_seeds(self, seeds: Iterable[str]) -> None:
-        """Look for others at these addresses from now on."""
+        """Replace the addresses at which other instances are looked for."""
         self._seeds = tuple(seeds)
 
     @property
     def synced(self) -> bool:
-        """Return whether another instance told all that it knows."""
-        return self._whole
+        """Return whether another instance has sent all its records."""
+        return self._synced
 
     def ready(self, now: float) -> bool:
-        """Return whether servers are known, or there is no one to ask."""
-        return self._whole or now - self._started >= ALONE_S
+        """Return whether the servers are known, or no instance answers."""
+        return self._synced or now - self._started_at >= START_ALONE_S
 
     def instance_lease_s(self) -> float:
         """Return the seconds after which a silent instance is gone.
 
-        A sign of life needs more rounds of gossip, the more there are.
+        They grow with the number of instances, since a heartbeat then needs
+        more rounds of gossip to reach all.
         """
         size = self.directory.instances.size
         rounds = SPARE_ROUNDS + ROUNDS_PER_DOUBLING * math.log2(size + 1)
@@ -139,9 +146,9 @@
     def is_suspect(self, name: str, now: float) -> bool:
         """Return whether an instance may be dead, long before its lease ends.
 
-        Three fifths of a lease without a sign of life are no ground to forget it, but
-        one not to send callers there: to a machine without power they connect
-        in vain for a second each.
+        Three fifths of a lease without a heartbeat are too few to drop the
+        instance, but enough to send no callers there: each attempt to connect
+        to a machine without power costs them a second.
         """
         if name == self.myself.name:
             return False
@@ -151,119 +158,134 @@
         return self._heartbeats.silent_s(name, now) > limit_s
 
     def update_self(self, now: float, **changes: Any) -> Effects:
-        """Change this instance's word; it is spread when it differs.
+        """Change this instance's record, and send it if it differs.
 
-        That it leaves goes to all at once: look-ups must not name it longer.
-        A newer revision is hinted at once: a push that is lost shows by its
-        time-out only.
+        That it leaves is an alarm, since look-ups must not return it any
+        longer. A newer revision is sent at once as a hint, since followers
+        would notice a lost push only by its time-out.
         """
         before = self.myself
-        word = before._replace(**changes)
-        self._builder.myself = word
+        record = before._replace(**changes)
+        self._builder.myself = record
         effects: Effects = []
-        if word.revision > before.revision:
+        if record.revision > before.revision:
             effects += [
                 effects_module.Send(peer, self._builder.empty(), "hint")
                 for peer in self._peers()
             ]
-        # The revision goes along with every datagram, and the load of an
-        # entry is no ground for a decision elsewhere: neither is news.
-        if word._replace(load=before.load, revision=before.revision) == before:
+        # Every datagram contains the revision, and other instances decide
+        # nothing by the load of an entry: changes of these are not broadcast.
+        if (
+            record._replace(load=before.load, revision=before.revision)
+            == before
+        ):
             return effects
-        self._builder.myself = word._replace(sequence=word.sequence + 1)
-        self._note_self(now)
-        if word.state == "leaving":
-            return effects + self._broadcasts.alarm([word.name], now)
-        return effects + self._ask_introduction()
+        self._builder.myself = record._replace(sequence=record.sequence + 1)
+        self._record_self(now)
+        if record.state == "leaving":
+            return effects + self._broadcasts.alarm([record.name], now)
+        return effects + self._request_introduction()
 
-    def _note_self(self, now: float) -> None:
+    def _record_self(self, now: float) -> None:
         me = self.myself
         self.directory.instances.update(me.name, me, now)
 
-    def _ask_introduction(self) -> Effects:
-        """Let a few tell of this instance, together with others."""
-        me = self._builder.introduction()._replace(introduce=True)
-        through = self._peer_selector.nearest(INTRODUCERS, "control")
-        return [effects_module.Send(address, me, "news") for address in through]
+    def _request_introduction(self) -> Effects:
+        """Let some control instances broadcast this instance with others."""
+        introduction = self._builder.introduction()._replace(introduce=True)
+        addresses = self._peer_selector.nearest(INTRODUCERS, "control")
+        return [
+            effects_module.Send(address, introduction, "news")
+            for address in addresses
+        ]
 
     def announce(self, server: messages.Server, now: float) -> Effects:
-        """Take in what a server says of itself to this instance."""
+        """Process an announcement that a server sent to this instance."""
         last = self._received.get(server.server_id)
         if last is not None and not received_announcements.is_newer(
             server, last
         ):
             return []
-        held = self.directory.servers.get(server.server_id)
-        if _has_left(held, server):
-            # A word that was on its way when the server was dismissed.
+        record = self.directory.servers.get(server.server_id)
+        if _has_left(record, server):
+            # The announcement was sent before the server was dismissed.
             server = server._replace(state="leaving")
-        settled = self._received.take(server, now)
-        # Another instance may have told already what the server said later.
-        is_late = held is not None and received_announcements.is_newer(
-            held, server
+        is_regular = self._received.record(server, now)
+        # A newer announcement may have come from another instance already.
+        is_late = record is not None and received_announcements.is_newer(
+            record, server
         )
         cold_again = not is_late and self.directory.record_cold(server, now)
-        vouched = held is not None and self._vouched(held, server, settled)
-        if held is not None and vouched and not cold_again:
-            if held.monitor == self.myself.name:
+        unchanged = record is not None and self._is_unchanged(
+            record, server, is_regular
+        )
+        if record is not None and unchanged and not cold_again:
+            if record.monitor == self.myself.name:
                 self._renew(server.server_id, now, self._lease_s)
             return []
-        word = server._replace(monitor=self.myself.name)
-        if not self.directory.servers.update(server.server_id, word, now):
+        new_record = server._replace(monitor=self.myself.name)
+        if not self.directory.servers.update(server.server_id, new_record, now):
             return []
         changed = _changed(server)
         if server.state == "ready":
-            # Others send to a server that they know for warm.
-            is_alarm = cold_again and held is not None
+            # Other instances send to a server that they take for warm.
+            is_alarm = cold_again and record is not None
             self._broadcasts.add_news(server.server_id, is_alarm=is_alarm)
             return [changed]
         return [changed, *self._broadcasts.alarm([server.server_id], now)]
 
     def dismiss(self, server_id: str, now: float) -> Effects:
-        """Take out a server that leaves without a word of its own.
+        """Mark a server as leaving that has not announced so itself.
 
-        Its announcements are counted by itself, and others may have heard
-        newer ones than this instance: the next number after the newest known
-        here is newer than what any instance was told, since a server's usual
-        words are not passed on.
+        The server numbers its announcements itself, and other instances may
+        have received newer ones than this instance. The number after the
+        newest one known here is still newer than any that was broadcast,
+        since a server's unchanged announcements are not forwarded.
         """
-        held = self.directory.servers.get(server_id)
-        if held is None or held.state != "ready":
+        record = self.directory.servers.get(server_id)
+        if record is None or record.state != "ready":
             return []
-        newest = held
+        newest = record
         last = self._received.get(server_id)
-        if last is not None and received_announcements.is_newer(last, held):
+        if last is not None and received_announcements.is_newer(last, record):
             newest = last
-        word = newest._replace(
+        leaving = newest._replace(
             state="leaving", sequence=newest.sequence + 1, monitor=""
         )
-        return self.announce(word, now)
+        return self.announce(leaving, now)
 
     def _renew(self, server_id: str, now: float, lease_s: float) -> None:
         self.directory.servers.renew(server_id, now, lease_s)
 
-    def _vouched(
-        self, held: messages.Server, server: messages.Server, settled: bool
+    def _is_unchanged(
+        self,
+        record: messages.Server,
+        server: messages.Server,
+        is_regular: bool,
     ) -> bool:
-        """Return whether the others know already what a server says.
+        """Return whether the other instances know what a server announces.
 
-        The monitor of one that has settled here hears it no longer, and would
-        not notice its end.
+        False also when the server regularly announces itself here but has
+        another monitor: that one no longer receives its announcements, and
+        would not notice when the server dies.
         """
-        mine = held.monitor == self.myself.name
-        if not mine and self.directory.instances.get(held.monitor) is None:
+        is_monitor = record.monitor == self.myself.name
+        if (
+            not is_monitor
+            and self.directory.instances.get(record.monitor) is None
+        ):
             return False
-        if not mine and settled and held.state == "ready":
+        if not is_monitor and is_regular and record.state == "ready":
             return False
-        if _has_left(held, server):
+        if _has_left(record, server):
             return True
-        same = held._replace(
+        expected = record._replace(
             sequence=server.sequence,
             load=server.load,
             monitor="",
             cold_left_s=server.cold_left_s,
         )
-        return same == server
+        return expected == server
 
     @property
     def has_news(self) -> bool:
@@ -271,47 +293,51 @@
         return self._broadcasts.has_news
 
     def flush(self, now: float) -> Effects:
-        """Tell all of the servers and instances that are new."""
+        """Broadcast the batch of new servers and instances."""
         return self._broadcasts.flush(now)
 
     def receive(self, datagram: messages.Datagram, now: float) -> Effects:
-        """Take in what another instance tells."""
+        """Process a datagram of another instance."""
         self.highest_revision = max(self.highest_revision, datagram.revision)
-        effects = self._broadcasts.pass_on(datagram)
-        fresh: list[str] = []
+        effects = self._broadcasts.relay(datagram)
+        alive: list[str] = []
         for instance in datagram.instances:
-            if not self._is_credible(instance, datagram.sender):
+            if not self._is_acceptable(instance, datagram.sender):
                 continue
             if self.directory.instances.update(instance.name, instance, now):
-                fresh.append(instance.name)
+                alive.append(instance.name)
                 if datagram.introduce:
                     self._broadcasts.add_news(instance.name)
         for server in datagram.servers:
-            effects += self._take_server(server, now)
-        self._heartbeats.learn(self.directory)
-        for told in datagram.suspects:
-            if told.name != self.myself.name and self._heartbeats.suspect(told):
-                effects.append(self._suspected(told.name))
-        fresh += self._heartbeats.merge(datagram.heartbeats, now)
-        self._was_fed = self._was_fed or bool(datagram.heartbeats)
+            effects += self._receive_server(server, now)
+        self._heartbeats.follow(self.directory)
+        for suspicion in datagram.suspects:
+            if suspicion.name != self.myself.name and self._heartbeats.suspect(
+                suspicion
+            ):
+                effects.append(self._suspected(suspicion.name))
+        alive += self._heartbeats.merge(datagram.heartbeats, now)
+        self._got_heartbeats = self._got_heartbeats or bool(datagram.heartbeats)
         lease_s = self.instance_lease_s()
-        for name in fresh:
+        for name in alive:
             if name != self.myself.name:
                 self.directory.instances.renew(name, now, lease_s)
-        self._note_part(datagram)
+        self._record_part(datagram)
         return effects + self._reply(datagram, now)
 
-    def _take_server(self, server: messages.Server, now: float) -> Effects:
-        held = self.directory.servers.get(server.server_id)
+    def _receive_server(self, server: messages.Server, now: float) -> Effects:
+        record = self.directory.servers.get(server.server_id)
         if server.state == "gone":
-            if held is None:
-                # A tombstone is for those who may hold the server for ready.
+            if record is None:
+                # Only instances that have a record of the server need its
+                # tombstone.
                 return []
-        elif held is None and not self._is_monitored(server):
+        elif record is None and not self._is_monitored(server):
             return []
-        mine = server.monitor == self.myself.name
-        if mine and self._received.get(server.server_id) is None:
-            # What this instance said in an earlier life: not vouched for.
+        is_monitor = server.monitor == self.myself.name
+        if is_monitor and self._received.get(server.server_id) is None:
+            # Sent by an earlier incarnation of this instance, which vouches
+            # for the server no longer.
             server = server._replace(monitor="")
         if not self.directory.servers.update(server.server_id, server, now):
             return []
@@ -319,83 +345,94 @@
         if server.state == "gone":
             self._renew(server.server_id, now, monitoring.GONE_S)
         if server.state == "gone" and self._monitoring.vouch(server, now):
-            # Its monitor lost it, but it goes on announcing itself here.
+            # Its monitor lost it, but it still announces itself here.
             return []
         return [_changed(server)]
 
-    def _is_credible(self, instance: messages.Instance, sender: str) -> bool:
+    def _is_acceptable(self, instance: messages.Instance, sender: str) -> bool:
+        """Return whether a received record of an instance is accepted."""
         name = instance.name
         if name == self.myself.name:
             return False
-        alive = self._heartbeats.is_alive(name, instance.incarnation)
-        return alive or name == sender
+        is_alive = self._heartbeats.is_alive(name, instance.incarnation)
+        return is_alive or name == sender
 
     def _is_monitored(self, server: messages.Server) -> bool:
-        """Return whether someone vouches for a server told of by another.
+        """Return whether an instance vouches for a server not known here.
 
-        Else words of servers whose monitor is gone would go round for ever.
+        Otherwise instances would send each other the records of servers
+        without a monitor forever.
         """
         monitor = server.monitor
         if not monitor or monitor == self.myself.name:
             return True
-        if not self._whole:
-            # The word of the monitor itself may be on its way.
+        if not self._synced:
+            # The record of the monitor may come with a later datagram.
             return True
         return self.directory.instances.get(monitor) is not None
 
-    def _note_part(self, datagram: messages.Datagram) -> None:
+    def _record_part(self, datagram: messages.Datagram) -> None:
         if not datagram.parts:
             return
-        parts = self._wanted.setdefault(datagram.sender, set())
+        parts = self._received_parts.setdefault(datagram.sender, set())
         parts.add(datagram.part)
         if len(parts) == datagram.parts:
-            self._whole = True
+            self._synced = True
 
     def _reply(self, datagram: messages.Datagram, now: float) -> Effects:
-        asker = self._address(datagram)
-        if asker is None:
+        address = self._sender_address(datagram)
+        if address is None:
             return []
         effects: Effects = []
         if datagram.pull:
-            effects.append(effects_module.Send(asker, self._signs_of_life(now)))
-        return effects + self._reply_about_words(asker, datagram, now)
+            effects.append(
+                effects_module.Send(address, self._heartbeat_datagram(now))
+            )
+        return effects + self._reply_with_records(address, datagram, now)
 
-    def _signs_of_life(self, now: float) -> messages.Datagram:
+    def _heartbeat_datagram(self, now: float) -> messages.Datagram:
         packed = self._heartbeats.pack(self.myself.name, self._rng, now)
         return self._builder.introduction()._replace(heartbeats=packed)
 
-    def _reply_about_words(
-        self, asker: str, datagram: messages.Datagram, now: float
+    def _reply_with_records(
+        self, address: str, datagram: messages.Datagram, now: float
     ) -> Effects:
         if datagram.want:
-            return self._tell_all(asker, now)
+            return self._send_all_records(address, now)
         if datagram.buckets:
             return self._anti_entropy.answer(
-                asker, datagram.buckets, datagram.compare, now
+                address, datagram.buckets, datagram.compare, now
             )
         if datagram.digest in (
             messages.NO_DIGEST,
-            self.directory.digests.whole(),
+            self.directory.digests.combined(),
         ):
             return []
-        return self._anti_entropy.ask(asker)
+        return self._anti_entropy.ask(address)
 
-    def _address(self, datagram: messages.Datagram) -> str | None:
+    def _sender_address(self, datagram: messages.Datagram) -> str | None:
         for instance in datagram.instances:
             if instance.name == datagram.sender:
                 return instance.gossip_address
-        held = self.directory.instances.get(datagram.sender)
-        return held.gossip_address if held is not None else None
-
-    def _tell_all(self, address: str, now: float) -> Effects:
-        # A peer that asks again and again must not make this one a flood.
-        if now - self._answered.get(address, -math.inf) < WANT_EVERY_S / 2:
+        sender = self.directory.instances.get(datagram.sender)
+        return sender.gossip_address if sender is not None else None
+
+    def _send_all_records(self, address: str, now: float) -> Effects:
+        # Limits the traffic that a peer causes which asks repeatedly.
+        if (
+            now - self._answered_at.get(address, -math.inf)
+            < WANT_INTERVAL_S / 2
+        ):
             return []
-        self._answered[address] = now
-        keys = [one.name for one in self.directory.instances.records()]
-        keys += [one.server_id for one in self.directory.servers.records()]
+        self._answered_at[address] = now
+        keys = [
+            instance.name for instance in self.directory.instances.records()
+        ]
+        keys += [
+            server.server_id for server in self.directory.servers.records()
+        ]
         answers = self._builder.datagrams(
-            keys[: MAX_WANTED * datagram_builder.MAX_RECORDS], now
+            keys[: MAX_WANT_DATAGRAMS * datagram_builder.MAX_RECORDS], now
         )
         return [
             effects_module.Send(
@@ -407,30 +444,30 @@
         ]
 
     def tick(self, now: float) -> Effects:
-        """Spread; due each `PERIOD_S`."""
+        """Run one round of gossip; due each `PERIOD_S`."""
         self._anti_entropy.renew()
         me = self.myself
         self.directory.instances.renew(me.name, now, self._lease_s)
         self._heartbeats.advance(me.name, me.incarnation, now)
-        effects = self._broadcasts.repeat_alarms(now) + self._keep_servers(now)
-        suspects = self._failure_detector.find(now)
+        effects = self._broadcasts.repeat_alarms(now) + self._check_servers(now)
+        suspects = self._failure_detector.detect(now)
         effects += self._broadcasts.suspect(suspects, now)
-        effects += [self._suspected(one.name) for one in suspects]
+        effects += [self._suspected(suspicion.name) for suspicion in suspects]
         effects += [
-            effects_module.Changed(_name(word), word.region, "lease-ended")
-            for word in self.directory.expire(now)
-            if word.state != "gone"
+            effects_module.Changed(_key(record), record.region, "lease-ended")
+            for record in self.directory.expire(now)
+            if record.state != "gone"
         ]
-        self._heartbeats.learn(self.directory)
+        self._heartbeats.follow(self.directory)
         return effects + self._gossip(now)
 
     def _suspected(self, name: str) -> effects_module.Changed:
-        held = self.directory.instances.get(name)
-        region = held.region if held is not None else ""
+        record = self.directory.instances.get(name)
+        region = record.region if record is not None else ""
         return effects_module.Changed(name, region, "suspected")
 
-    def _keep_servers(self, now: float) -> Effects:
-        gone = self._monitoring.keep(now)
+    def _check_servers(self, now: float) -> Effects:
+        gone = self._monitoring.renew_leases(now)
         effects: Effects = [
             effects_module.Changed(server.server_id, server.region, "gone")
             for server in gone
@@ -439,20 +476,21 @@
         return effects + self._broadcasts.alarm(keys, now)
 
     def _gossip(self, now: float) -> Effects:
-        datagram = self._signs_of_life(now)._replace(
-            digest=self.directory.digests.whole(), pull=not self._was_fed
+        datagram = self._heartbeat_datagram(now)._replace(
+            digest=self.directory.digests.combined(),
+            pull=not self._got_heartbeats,
         )
-        self._was_fed = False
+        self._got_heartbeats = False
         effects: Effects = [
             effects_module.Send(address, datagram) for address in self._peers()
         ]
-        if not self._whole and now - self._wanted_at >= WANT_EVERY_S:
+        if not self._synced and now - self._wanted_at >= WANT_INTERVAL_S:
             self._wanted_at = now
             effects += self._want()
         return effects
 
     def _want(self) -> Effects:
-        """Ask one for everything, and to tell the others of this instance."""
+        """Ask one instance for all records, and to broadcast this instance."""
         question = self._builder.introduction()._replace(
             want=True, introduce=True
         )
@@ -464,12 +502,15 @@
         return [effects_module.Send(self._rng.choice(near), question, "want")]
 
     def _peers(self) -> list[str]:
-        peers = self._peer_selector.partners()
-        # One that was cut off as a whole comes back through a seed.
-        known = self._peer_selector.addresses()
-        lost = sorted(set(self._seeds) - {self.myself.gossip_address} - known)
-        if lost:
-            peers.append(self._rng.choice(lost))
+        peers = self._peer_selector.gossip_peers()
+        # Instances that were all cut off and dropped are found again by a
+        # seed.
+        addresses = self._peer_selector.addresses()
+        unknown_seeds = sorted(
+            set(self._seeds) - {self.myself.gossip_address} - addresses
+        )
+        if unknown_seeds:
+            peers.append(self._rng.choice(unknown_seeds))
         return peers
 
 
@@ -482,11 +523,13 @@
     )
 
 
-def _name(word: messages.Server | messages.Instance) -> str:
-    return word.server_id if isinstance(word, messages.Server) else word.name
+def _key(record: messages.Server | messages.Instance) -> str:
+    return (
+        record.server_id if isinstance(record, messages.Server) else record.name
+    )
 
 
-def _has_left(held: messages.Server | None, server: messages.Server) -> bool:
-    if held is None or held.state != "leaving":
+def _has_left(record: messages.Server | None, server: messages.Server) -> bool:
+    if record is None or record.state != "leaving":
         return False
-    return held.incarnation == server.incarnation
+    return record.incarnation == server.incarnation
--- a/hyssopfold/core/membership/heartbeats.py
+++ b/hyssopfold/core/membership/heartbeats.py
@@ -1,4 +1,4 @@
-"""Signs of life of instances, counted and packed for a datagram."""
+"""Heartbeats of instances, counted and packed for a datagram."""
 
 from collections.abc import Iterable
 import random
@@ -9,11 +9,11 @@
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import messages
 
-# As many as fit into a datagram beside the sender's own word.
+# As many as fit into a datagram beside the sender's own record.
 MAX_HEARTBEATS = 180
-LATELY_S = 1.0
-MAX_BURIED = 1000
-# A hash of the name and the life, and the low bits of the count.
+RECENT_S = 1.0
+MAX_TOMBSTONES = 1000
+# A hash of name and incarnation, and the low bits of the count.
 _PACKED = struct.Struct("<IH")
 _COUNT_MASK = 0xFFFF
 _HALF = 0x8000
@@ -26,145 +26,164 @@
 
 
 class Heartbeats:
-    """Newest sign of life of each instance, known by a hash of its life.
+    """Newest heartbeat count of each instance, used by the gossip protocol.
 
-    A sign counts only for the life that the directory knows: one of an
-    earlier life, delayed on its way, does not keep an instance alive.
+    A packed heartbeat names its instance by a hash of name and incarnation.
+    Only heartbeats of the incarnation in the directory count: a delayed one
+    of an earlier incarnation does not keep an instance alive.
     """
 
     def __init__(self) -> None:
         self._counts: dict[str, _Count] = {}
         self._names: dict[int, str] = {}
-        self._buried: dict[str, _Count] = {}
-        self._learned = -1
+        self._tombstones: dict[str, _Count] = {}
+        self._directory_changes = -1
         self._suspected: set[str] = set()
 
     def advance(self, name: str, incarnation: int, now: float) -> None:
-        """Count one more sign of life of this instance itself."""
-        held = self._counts.get(name)
-        count = 1 if held is None else held.heartbeats + 1
-        self._counts[name] = _Count(incarnation, count, now)
+        """Count one more heartbeat of this instance itself."""
+        count = self._counts.get(name)
+        heartbeats = 1 if count is None else count.heartbeats + 1
+        self._counts[name] = _Count(incarnation, heartbeats, now)
         self._names[_hash(name, incarnation)] = name
 
-    def learn(self, member_directory: directory.Directory) -> None:
-        """Follow the directory: new lives count anew, dropped ones go."""
-        if self._learned == member_directory.instances.changes:
+    def follow(self, member_directory: directory.Directory) -> None:
+        """Update the counts from the directory.
+
+        A new incarnation is counted from 0. An instance that the directory
+        has dropped gets a tombstone.
+        """
+        if self._directory_changes == member_directory.instances.changes:
             return
-        self._learned = member_directory.instances.changes
-        words = {
-            word.name: word for word in member_directory.instances.records()
+        self._directory_changes = member_directory.instances.changes
+        records = {
+            record.name: record
+            for record in member_directory.instances.records()
         }
-        for name, word in words.items():
-            held = self._counts.get(name)
-            if held is None or held.incarnation != word.incarnation:
-                if held is not None:
-                    self._names.pop(_hash(name, held.incarnation), None)
-                self._counts[name] = _Count(word.incarnation, 0, 0.0)
+        for name, record in records.items():
+            count = self._counts.get(name)
+            if count is None or count.incarnation != record.incarnation:
+                if count is not None:
+                    self._names.pop(_hash(name, count.incarnation), None)
+                self._counts[name] = _Count(record.incarnation, 0, 0.0)
                 self._suspected.discard(name)
-                self._names[_hash(name, word.incarnation)] = name
-        for name in self._counts.keys() - words.keys():
-            held = self._counts[name]
-            self._buried.setdefault(name, held)
-        for name in self._buried.keys() & words.keys():
-            del self._buried[name]
-        while len(self._buried) > MAX_BURIED:
-            name = next(iter(self._buried))
-            dropped = self._buried.pop(name)
+                self._names[_hash(name, record.incarnation)] = name
+        for name in self._counts.keys() - records.keys():
+            count = self._counts[name]
+            self._tombstones.setdefault(name, count)
+        for name in self._tombstones.keys() & records.keys():
+            del self._tombstones[name]
+        while len(self._tombstones) > MAX_TOMBSTONES:
+            name = next(iter(self._tombstones))
+            dropped = self._tombstones.pop(name)
             self._counts.pop(name, None)
             self._names.pop(_hash(name, dropped.incarnation), None)
 
     def is_alive(self, name: str, incarnation: int) -> bool:
-        """Return whether a word of an instance may be taken in.
+        """Return whether a received record of an instance may be accepted.
 
-        The word of one that was dropped goes round for a while among those
-        that have not dropped it yet; only a newer sign of life counts.
+        Instances that have not yet dropped another one go on sending its
+        record. After it was dropped here, the record is accepted again only
+        when a newer heartbeat came.
         """
-        buried = self._buried.get(name)
-        if buried is None or buried.incarnation != incarnation:
+        tombstone = self._tombstones.get(name)
+        if tombstone is None or tombstone.incarnation != incarnation:
             return True
-        return self._counts[name].heartbeats > buried.heartbeats
+        return self._counts[name].heartbeats > tombstone.heartbeats
 
     def silent_s(self, name: str, now: float) -> float:
-        """Return the seconds since an instance's last sign of life.
+        """Return the seconds since an instance's last heartbeat.
 
-        0 for one that has only just been told of.
+        0 for an instance of which no heartbeat was received yet.
         """
-        held = self._counts.get(name)
+        count = self._counts.get(name)
         return (
-            now - held.changed_at
-            if held is not None and held.heartbeats
+            now - count.changed_at
+            if count is not None and count.heartbeats
             else 0.0
         )
 
     def suspicion(self, name: str) -> messages.Suspicion:
-        """Suspect an instance until a newer sign of life; return it to tell."""
-        held = self._counts[name]
+        """Suspect an instance until its next heartbeat.
+
+        Returns:
+            The suspicion, to be sent to the other instances.
+        """
+        count = self._counts[name]
         self._suspected.add(name)
-        return messages.Suspicion(name, held.incarnation, held.heartbeats)
+        return messages.Suspicion(name, count.incarnation, count.heartbeats)
 
-    def suspect(self, told: messages.Suspicion) -> bool:
-        """Take in another's suspicion, unless a newer sign of life came.
+    def suspect(self, suspicion: messages.Suspicion) -> bool:
+        """Apply another instance's suspicion, unless a newer heartbeat came.
 
         Returns:
             Whether the instance was not suspected before and is now.
         """
-        held = self._counts.get(told.name)
-        if held is None or held.incarnation != told.incarnation:
+        count = self._counts.get(suspicion.name)
+        if count is None or count.incarnation != suspicion.incarnation:
             return False
-        newer = (held.heartbeats - told.heartbeats) & _COUNT_MASK
-        if 0 < newer < _HALF or told.name in self._suspected:
+        newer = (count.heartbeats - suspicion.heartbeats) & _COUNT_MASK
+        if 0 < newer < _HALF or suspicion.name in self._suspected:
             return False
-        self._suspected.add(told.name)
+        self._suspected.add(suspicion.name)
         return True
 
     def is_suspected(self, name: str) -> bool:
-        """Return whether no sign of life came since an instance was suspected."""
+        """Return whether an instance is suspected, with no heartbeat since."""
         return name in self._suspected
 
     def pack(self, me: str, rng: random.Random, now: float) -> bytes:
-        """Return this instance's sign of life and some that changed lately.
+        """Return this instance's heartbeat and some that changed recently.
 
-        Chosen by chance when there are many: the same few would else go round
-        and the others fall silent.
+        When there are many, they are chosen at random: otherwise the same
+        ones would always be sent and the other instances would seem silent.
         """
-        lately = [
+        recent = [
             name
-            for name, held in self._counts.items()
-            if now - held.changed_at <= LATELY_S
-            and held.heartbeats
+            for name, count in self._counts.items()
+            if now - count.changed_at <= RECENT_S
+            and count.heartbeats
             and name != me
-            and name not in self._buried
+            and name not in self._tombstones
         ]
-        chosen = rng.sample(lately, min(len(lately), MAX_HEARTBEATS - 1))
+        chosen = rng.sample(recent, min(len(recent), MAX_HEARTBEATS - 1))
         return b"".join(self._pack(name) for name in (me, *chosen))
 
     def _pack(self, name: str) -> bytes:
-        held = self._counts[name]
-        key = _hash(name, held.incarnation)
-        return _PACKED.pack(key, held.heartbeats & _COUNT_MASK)
+        count = self._counts[name]
+        key = _hash(name, count.incarnation)
+        return _PACKED.pack(key, count.heartbeats & _COUNT_MASK)
 
     def merge(self, packed: bytes, now: float) -> Iterable[str]:
-        """Take in signs of life; return the names that made a new one."""
-        fresh = []
-        usable = len(packed) - len(packed) % _PACKED.size
-        for key, count in _PACKED.iter_unpack(packed[:usable]):
+        """Merge received heartbeats.
+
+        Args:
+            packed: Heartbeats as `pack` returns them.
+            now: Monotonic time in seconds.
+
+        Returns:
+            The names of the instances that have a new heartbeat.
+        """
+        updated = []
+        usable_bytes = len(packed) - len(packed) % _PACKED.size
+        for key, low_bits in _PACKED.iter_unpack(packed[:usable_bytes]):
             name = self._names.get(key)
             if name is None:
                 continue
-            held = self._counts[name]
-            newer = (count - held.heartbeats) & _COUNT_MASK
-            if held.heartbeats and not 0 < newer < _HALF:
+            count = self._counts[name]
+            newer = (low_bits - count.heartbeats) & _COUNT_MASK
+            if count.heartbeats and not 0 < newer < _HALF:
                 continue
-            # Of a life not heard of before, any count is the first.
+            # For an incarnation without heartbeats so far, any count is new.
             total = (
-                held.heartbeats + newer
-                if held.heartbeats
-                else count or _HALF * 2
+                count.heartbeats + newer
+                if count.heartbeats
+                else low_bits or _HALF * 2
             )
-            self._counts[name] = _Count(held.incarnation, total, now)
+            self._counts[name] = _Count(count.incarnation, total, now)
             self._suspected.discard(name)
-            fresh.append(name)
-        return fresh
+            updated.append(name)
+        return updated
 
 
 def _hash(name: str, incarnation: int) -> int:
--- a/hyssopfold/core/membership/messages.py
+++ b/hyssopfold/core/membership/messages.py
@@ -1,4 +1,4 @@
-"""Announcements of backend servers and instances, as they are spread."""
+"""Records of backend servers and instances, and the datagrams of gossip."""
 
 from typing import Literal
 from typing import NamedTuple
@@ -10,13 +10,14 @@
 
 
 class Server(NamedTuple):
-    """A backend server's own word about itself.
+    """The announcement of a backend server, and its record in the directory.
 
     `load` is the number of requests it says it runs; `sequence` grows with
-    each announcement of an `incarnation`. `monitor` is the instance of ours
-    that hears the announcements and vouches for them to the others; it says
-    `gone` when they stop. `cold_left_s` is how much longer the server stays
-    cold, in seconds from when it said so.
+    each announcement of an `incarnation`. `monitor` is the name of the
+    instance that receives the announcements and vouches for the server to
+    the other instances; it sets the state `gone` when they stop.
+    `cold_left_s` is how much longer the server stays cold, in seconds from
+    when it said so.
     """
 
     server_id: str
@@ -35,9 +36,9 @@
 
 
 class Instance(NamedTuple):
-    """The word of one of our own processes about itself.
+    """The record of an instance, which it makes itself.
 
-    `rpc_address` is where others may ask it for its revision, if anywhere.
+    `rpc_address` is where others may poll it for its revision, or "".
     """
 
     name: str
@@ -55,7 +56,7 @@
 
 
 class Suspicion(NamedTuple):
-    """No sign of life of an instance has come for long; `heartbeats` is the last."""
+    """An instance has sent no heartbeat for long; `heartbeats` is its count."""
 
     name: str
     incarnation: int
@@ -63,16 +64,16 @@
 
 
 class Datagram(NamedTuple):
-    """What one process tells another; `revision` is the one in force.
-
-    `heartbeats` are signs of life of instances, packed (see `heartbeats`). `digest` is
-    one hash of all that the sender knows, `buckets` a hash of each part of it
-    (see `digests`); with `compare` the receiver is to answer with what it
-    knows in the parts that differ. `want` asks for everything, in datagrams
-    numbered `part` out of `parts`. `introduce` asks the receiver to tell the
-    sender's word to all. `relay` asks it to pass the datagram on to its
-    failure domain. `pull` asks for the receiver's signs of life. `suspects`
-    are instances that their own failure domain no longer hears.
+    """A datagram of the gossip protocol; `revision` is the one in force.
+
+    `heartbeats` are the heartbeats of instances, packed (see `heartbeats`).
+    `digest` is one hash of all records of the sender, `buckets` a hash of
+    each bucket of them (see `digests`); with `compare` the receiver is to
+    answer with its records in the buckets that differ. `want` asks for all
+    records, in datagrams numbered `part` out of `parts`. `introduce` asks the
+    receiver to broadcast the sender's record. `relay` asks it to forward the
+    datagram to its failure domain. `pull` asks for the receiver's heartbeats.
+    `suspects` are instances that their own failure domain suspects.
     """
 
     sender: str
--- a/hyssopfold/core/membership/monitoring.py
+++ b/hyssopfold/core/membership/monitoring.py
@@ -1,4 +1,4 @@
-"""Backend servers that announce themselves here, and those of other monitors."""
+"""Monitoring of backend servers: leases, and servers that are gone."""
 
 from collections.abc import Callable
 import math
@@ -7,69 +7,78 @@
 from hyssopfold.core.membership import messages
 from hyssopfold.core.membership import received_announcements
 
-# How long a server holds whose monitor is silent: it announces itself each
-# second, and another instance takes over as monitor.
+# Lease of a server whose monitor is silent: the server announces itself each
+# second, and another instance takes over as its monitor.
 HANDOVER_S = 5.0
-# How long it is remembered that a server is gone: by then all know.
+# How long the tombstone of a server is kept: by then all instances know that
+# the server is gone.
 GONE_S = 60.0
-# How long servers hold when nothing is heard from their region at all.
+# How long servers are kept when no instance of their region is known.
 CUT_OFF_HOLD_S = 30.0
 
 
 class Monitoring:
-    """Renew the leases of servers, and find who is gone.
+    """Renews the leases of servers, and finds the servers that are gone.
 
-    A server's monitor hears its announcements; the others renew its lease for
-    as long as the monitor is there.
+    A server's monitor receives its announcements; the other instances renew
+    its lease for as long as the monitor is a member. Used by the gossip
+    protocol.
 
     Args:
         me: Name of this instance.
-        member_directory: The directory to keep.
-        heard: Announcements that came to this instance.
-        lease_s: Seconds after which a server that says nothing is gone.
-        add_news: Tells all of a server with the next batch.
+        member_directory: The directory to update.
+        received: Announcements that this instance received.
+        lease_s: Seconds without an announcement after which a server is gone.
+        add_news: Adds the record of a server to the next batch of news.
     """
 
     def __init__(
         self,
         me: str,
         member_directory: directory.Directory,
-        heard: received_announcements.ReceivedAnnouncements,
+        received: received_announcements.ReceivedAnnouncements,
         lease_s: float,
         add_news: Callable[[str], None],
     ) -> None:
         self._me = me
         self._directory = member_directory
-        self._heard = heard
+        self._received = received
         self._lease_s = lease_s
         self._add_news = add_news
-        self._region_heard: dict[str, float] = {}
+        self._region_alive_at: dict[str, float] = {}
 
-    def keep(self, now: float) -> list[messages.Server]:
+    def renew_leases(self, now: float) -> list[messages.Server]:
         """Renew the leases; return the servers that are gone from now on."""
-        alive = {one.name: one for one in self._directory.instances.records()}
-        for one in alive.values():
-            self._region_heard[one.region] = now
+        alive = {
+            instance.name: instance
+            for instance in self._directory.instances.records()
+        }
+        for instance in alive.values():
+            self._region_alive_at[instance.region] = now
         gone: list[messages.Server] = []
         for server in list(self._directory.servers.records()):
             if server.state == "gone":
                 continue
             if server.monitor == self._me:
-                if self._watch(server, now):
+                if self._is_gone(server, now):
                     gone.append(server)
             elif server.monitor in alive:
                 self._renew(server, now, HANDOVER_S)
             elif server.monitor:
-                self._without_monitor(server, now)
+                self._replace_monitor(server, now)
         return gone
 
     def vouch(self, server: messages.Server, now: float) -> bool:
-        """Become a server's monitor if it announces itself here."""
-        word = self._heard.newer(server, now)
-        if word is None:
+        """Become a server's monitor if it announces itself here.
+
+        Returns:
+            Whether it announces itself here.
+        """
+        announcement = self._received.newer_than(server, now)
+        if announcement is None:
             return False
-        word = word._replace(monitor=self._me)
-        if self._directory.servers.update(server.server_id, word, now):
+        announcement = announcement._replace(monitor=self._me)
+        if self._directory.servers.update(server.server_id, announcement, now):
             self._add_news(server.server_id)
         return True
 
@@ -78,26 +87,30 @@
     ) -> None:
         self._directory.servers.renew(server.server_id, now, lease_s)
 
-    def _watch(self, server: messages.Server, now: float) -> bool:
-        """Return whether a server is gone: it no longer announces itself."""
-        silent_s = self._heard.silent_s(server.server_id, now)
+    def _is_gone(self, server: messages.Server, now: float) -> bool:
+        """Renew the lease of a server monitored here, or mark it as gone.
+
+        Returns:
+            Whether the server no longer announces itself and is gone.
+        """
+        silent_s = self._received.silent_s(server.server_id, now)
         if silent_s < self._lease_s:
             self._renew(server, now, self._lease_s)
             return False
-        # Many that fall silent here at once show that this instance is cut
-        # off from them, rather than that all of them died: hold them.
-        held = silent_s < CUT_OFF_HOLD_S
-        if held and self._mostly_silent(server.region, now):
+        # If many servers fall silent here at once, this instance is more
+        # likely cut off from them than all of them are dead: keep them.
+        may_be_cut_off = silent_s < CUT_OFF_HOLD_S
+        if may_be_cut_off and self._mostly_silent(server.region, now):
             self._renew(server, now, HANDOVER_S)
             return False
-        word = self._heard.get(server.server_id) or server
-        word = word._replace(state="gone", monitor=self._me)
-        self._directory.servers.update(server.server_id, word, now)
+        record = self._received.get(server.server_id) or server
+        record = record._replace(state="gone", monitor=self._me)
+        self._directory.servers.update(server.server_id, record, now)
         self._renew(server, now, GONE_S)
         return True
 
     def _mostly_silent(self, region: str, now: float) -> bool:
-        mine = [
+        monitored = [
             server.server_id
             for server in self._directory.servers.records()
             if server.monitor == self._me
@@ -105,18 +118,19 @@
             and server.state == "ready"
         ]
         silent = [
-            key
-            for key in mine
-            if self._heard.silent_s(key, now) >= self._lease_s / 2
+            server_id
+            for server_id in monitored
+            if self._received.silent_s(server_id, now) >= self._lease_s / 2
         ]
-        return len(mine) >= 3 and len(silent) * 2 > len(mine)
+        return len(monitored) >= 3 and len(silent) * 2 > len(monitored)
 
-    def _without_monitor(self, server: messages.Server, now: float) -> None:
+    def _replace_monitor(self, server: messages.Server, now: float) -> None:
         if self.vouch(server, now):
             return
-        # Nothing at all is heard from its region: it is cut off, or lost as
-        # a whole. An empty pool would refuse what could still be served.
-        last = self._region_heard.get(server.region, -math.inf)
-        silent_s = now - last
+        # If no instance of the region is alive, the region is cut off or has
+        # failed as a whole. With an empty pool, requests would be refused
+        # that its servers may still answer.
+        alive_at = self._region_alive_at.get(server.region, -math.inf)
+        silent_s = now - alive_at
         if 0 < silent_s < CUT_OFF_HOLD_S:
             self._renew(server, now, HANDOVER_S)
--- a/hyssopfold/core/membership/peer_selection.py
+++ b/hyssopfold/core/membership/peer_selection.py
@@ -1,4 +1,4 @@
-"""The other instances by distance: whom to gossip with, who passes news on."""
+"""Selection of peers by distance: for gossip, and as relays of broadcasts."""
 
 from collections.abc import Callable
 import random
@@ -7,8 +7,8 @@
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import messages
 
-# Partners in the own failure domain in one period of gossip.
-NEAR_PARTNERS = 2
+# Peers in the own failure domain in one period of gossip.
+NEAR_PEERS = 2
 # Instances of a failure domain that exchange with another domain of the
 # region, and with another region, in one period.
 EXCHANGES_PER_PERIOD = 4.0
@@ -17,18 +17,19 @@
 
 
 class Recipient(NamedTuple):
-    """Where to send; `relays` when it is to pass on to its failure domain."""
+    """Recipient of a broadcast; `relays` if it forwards to its domain."""
 
     address: str
     relays: bool = False
 
 
 class PeerSelector:
-    """Choose other instances, near ones before far ones.
+    """Selects other instances, near ones before far ones.
 
-    Traffic between failure domains and regions is scarce: all of a failure
-    domain is told by one or two of its instances, and most exchanges stay
-    within it.
+    Bandwidth between failure domains and regions is scarce: a broadcast goes
+    to one or two instances of a failure domain, which relay it there, and
+    most exchanges stay within the domain. Used by the gossip protocol, by
+    broadcasts and by the failure detector.
 
     Args:
         me: Name of this instance.
@@ -48,94 +49,103 @@
         self._home = home
         self._directory = member_directory
         self._rng = rng
-        self._as_of = -1
+        self._directory_changes = -1
         self._by_domain: dict[Domain, list[messages.Instance]] = {}
 
     def _domains(self) -> dict[Domain, list[messages.Instance]]:
-        if self._as_of != self._directory.instances.changes:
-            self._as_of = self._directory.instances.changes
+        if self._directory_changes != self._directory.instances.changes:
+            self._directory_changes = self._directory.instances.changes
             self._by_domain = {}
-            for one in self._directory.instances.records():
-                if one.name != self._me:
-                    domain = (one.region, one.failure_domain)
-                    self._by_domain.setdefault(domain, []).append(one)
+            for instance in self._directory.instances.records():
+                if instance.name != self._me:
+                    domain = (instance.region, instance.failure_domain)
+                    self._by_domain.setdefault(domain, []).append(instance)
         return self._by_domain
 
     def addresses(self) -> set[str]:
         """Return the gossip addresses of all other instances."""
         return {
-            one.gossip_address
-            for held in self._domains().values()
-            for one in held
+            instance.gossip_address
+            for members in self._domains().values()
+            for instance in members
         }
 
-    def partners(self) -> list[str]:
+    def gossip_peers(self) -> list[str]:
         """Return the addresses to gossip with in one period.
 
-        Two in this failure domain; at times one elsewhere in the region, and
-        one in another region, rarely enough that the whole failure domain
-        makes a few such exchanges in a period.
+        They are two instances of this failure domain, and with some
+        probability one elsewhere in the region and one in another region.
+        The probability is such that all instances of the failure domain
+        together make `EXCHANGES_PER_PERIOD` exchanges of each kind.
         """
         domains = self._domains()
         own = domains.get(self._home, [])
         region = [
-            one
-            for domain, held in domains.items()
+            instance
+            for domain, members in domains.items()
             if domain[0] == self._home[0] and domain != self._home
-            for one in held
+            for instance in members
         ]
         far = [
-            one
-            for domain, held in domains.items()
+            instance
+            for domain, members in domains.items()
             if domain[0] != self._home[0]
-            for one in held
+            for instance in members
         ]
-        chosen = self._rng.sample(own, min(NEAR_PARTNERS, len(own)))
-        chance = EXCHANGES_PER_PERIOD / (len(own) + 1)
+        chosen = self._rng.sample(own, min(NEAR_PEERS, len(own)))
+        probability = EXCHANGES_PER_PERIOD / (len(own) + 1)
         for others in (region, far):
-            if not own or self._rng.random() < chance:
-                chosen += self._pick(others)
-        return [one.gossip_address for one in chosen]
+            if not own or self._rng.random() < probability:
+                chosen += self._choose(others)
+        return [instance.gossip_address for instance in chosen]
 
-    def _pick(self, others: list[messages.Instance]) -> list[messages.Instance]:
+    def _choose(
+        self, others: list[messages.Instance]
+    ) -> list[messages.Instance]:
         return [self._rng.choice(others)] if others else []
 
-    def everyone(
+    def broadcast_recipients(
         self, relays: int, is_live: Callable[[str], bool]
     ) -> list[Recipient]:
-        """Return whom to send to so that all instances are told.
+        """Return the recipients of a broadcast to all instances.
 
         Args:
-            relays: Instances of another failure domain that pass on to it.
-            is_live: Whether an instance, by name, is fit to be a relay.
+            relays: Instances of another failure domain that relay to it.
+            is_live: Whether an instance, by name, can be a relay.
         """
-        found: list[Recipient] = []
-        for domain, held in self._domains().items():
-            if domain == self._home or len(held) <= relays:
-                found += [Recipient(one.gossip_address) for one in held]
+        recipients: list[Recipient] = []
+        for domain, members in self._domains().items():
+            if domain == self._home or len(members) <= relays:
+                recipients += [
+                    Recipient(instance.gossip_address) for instance in members
+                ]
                 continue
-            live = [one for one in held if is_live(one.name)] or held
+            live = [
+                instance for instance in members if is_live(instance.name)
+            ] or members
             chosen = self._rng.sample(live, min(relays, len(live)))
-            found += [Recipient(one.gossip_address, True) for one in chosen]
-        return found
+            recipients += [
+                Recipient(instance.gossip_address, True) for instance in chosen
+            ]
+        return recipients
 
     def own_domain(self) -> list[messages.Instance]:
-        """Return the others of this failure domain."""
+        """Return the other instances of this failure domain."""
         return self._domains().get(self._home, [])
 
     def nearest(self, count: int, role: messages.Role) -> list[str]:
         """Return addresses of instances of a role, the nearest first."""
-        held = [
-            one
+        instances = [
+            instance
             for others in self._domains().values()
-            for one in others
-            if one.role == role and one.state != "leaving"
+            for instance in others
+            if instance.role == role and instance.state != "leaving"
         ]
-        self._rng.shuffle(held)
-        held.sort(key=self._distance)
-        return [one.gossip_address for one in held[:count]]
+        self._rng.shuffle(instances)
+        instances.sort(key=self._distance)
+        return [instance.gossip_address for instance in instances[:count]]
 
-    def _distance(self, one: messages.Instance) -> int:
-        if (one.region, one.failure_domain) == self._home:
+    def _distance(self, instance: messages.Instance) -> int:
+        if (instance.region, instance.failure_domain) == self._home:
             return 0
-        return 1 if one.region == self._home[0] else 2
+        return 1 if instance.region == self._home[0] else 2
--- a/hyssopfold/core/membership/received_announcements.py
+++ b/hyssopfold/core/membership/received_announcements.py
@@ -1,4 +1,4 @@
-"""Announcements of backend servers that came to this instance itself."""
+"""Announcements that this instance received from backend servers directly."""
 
 import math
 
@@ -6,49 +6,61 @@
 
 
 class ReceivedAnnouncements:
-    """Keep the newest announcement of each server, and when it came.
+    """The newest announcement of each server, and when it was received.
+
+    Used by the gossip protocol and by the monitoring of servers.
 
     Args:
-        lease_s: Seconds after which a server that says nothing is silent.
+        lease_s: Seconds without an announcement after which a server is
+            silent.
     """
 
     def __init__(self, lease_s: float) -> None:
         self._lease_s = lease_s
-        self._words: dict[str, messages.Server] = {}
-        self._came_at: dict[str, float] = {}
+        self._announcements: dict[str, messages.Server] = {}
+        self._received_at: dict[str, float] = {}
 
     def get(self, server_id: str) -> messages.Server | None:
         """Return a server's newest announcement to this instance."""
-        return self._words.get(server_id)
+        return self._announcements.get(server_id)
+
+    def record(self, server: messages.Server, now: float) -> bool:
+        """Record an announcement.
 
-    def take(self, server: messages.Server, now: float) -> bool:
-        """Take in an announcement; return whether the server has settled here.
+        Args:
+            server: The announcement.
+            now: Monotonic time in seconds.
 
-        One that came before within the lease has: it comes time and again.
+        Returns:
+            Whether the server announces itself here regularly: the previous
+            announcement of this incarnation is no older than the lease.
         """
-        last = self._words.get(server.server_id)
+        previous = self._announcements.get(server.server_id)
         silent_s = self.silent_s(server.server_id, now)
-        self._words[server.server_id] = server
-        self._came_at[server.server_id] = now
-        if last is None or last.incarnation != server.incarnation:
+        self._announcements[server.server_id] = server
+        self._received_at[server.server_id] = now
+        if previous is None or previous.incarnation != server.incarnation:
             return False
         return silent_s <= self._lease_s
 
     def silent_s(self, server_id: str, now: float) -> float:
         """Return the seconds since an announcement, infinite without one."""
-        return now - self._came_at.get(server_id, -math.inf)
+        return now - self._received_at.get(server_id, -math.inf)
 
-    def newer(
+    def newer_than(
         self, server: messages.Server, now: float
     ) -> messages.Server | None:
-        """Return a fresh announcement here that is newer than `server`."""
+        """Return an announcement within its lease that is newer than `server`.
+
+        None if there is no such announcement.
+        """
         if self.silent_s(server.server_id, now) > self._lease_s:
             return None
-        word = self._words[server.server_id]
-        return word if is_newer(word, server) else None
+        announcement = self._announcements[server.server_id]
+        return announcement if is_newer(announcement, server) else None
 
 
-def is_newer(one: messages.Server, other: messages.Server) -> bool:
-    """Return whether a server said `one` after `other`."""
-    mine = (one.incarnation, one.sequence)
-    return mine > (other.incarnation, other.sequence)
+def is_newer(announcement: messages.Server, other: messages.Server) -> bool:
+    """Return whether a server sent `announcement` after `other`."""
+    version = (announcement.incarnation, announcement.sequence)
+    return version > (other.incarnation, other.sequence)
