--- a/hyssopfold/core/distribution/__init__.py
+++ b/hyssopfold/core/distribution/__init__.py
@@ -1,1 +1,1 @@
-"""How revisions of the replicated value reach every instance."""
+"""Distribution of the revisions of the replicated value to all instances."""
--- a/hyssopfold/core/distribution/difference.py
+++ b/hyssopfold/core/distribution/difference.py
@@ -8,7 +8,7 @@
 
 
 class Run(NamedTuple):
-    """A stretch of a section: old rows `first` up to `end`, then new ones."""
+    """Part of a section: old rows from `first` before `end`, then new ones."""
 
     first: int
     end: int
@@ -16,27 +16,30 @@
 
 
 class Difference(NamedTuple):
-    """What turns one value into another; a list of runs for each section."""
+    """Difference between two values: their shape, and runs for each section.
+
+    `shape` is that of the new value.
+    """
 
     shape: tuple[int, ...]
     sections: tuple[tuple[Run, ...], ...]
 
 
 class MismatchError(Exception):
-    """A difference does not fit the value it was applied to."""
+    """A difference does not match the value it was applied to."""
 
 
 def between(old: rows.Rows, new: rows.Rows) -> bytes:
     """Return the encoded difference that turns `old` into `new`."""
     sections = []
     for index, section in enumerate(new.sections):
-        known = old.sections[index] if index < len(old.sections) else ()
-        sections.append(_runs(known, section))
+        old_section = old.sections[index] if index < len(old.sections) else ()
+        sections.append(_runs(old_section, section))
     return msgspec.msgpack.encode(Difference(new.shape, tuple(sections)))
 
 
 def apply(value: bytes, encoded: bytes) -> bytes:
-    """Return the value that `encoded` makes of `value`.
+    """Return `value` with an encoded difference applied.
 
     Raises:
         MismatchError: if the difference was made for another value or is
@@ -57,19 +60,19 @@
 
 def _runs(old: rows.Section, new: rows.Section) -> tuple[Run, ...]:
     """Return runs that keep the order of `new` and reuse rows of `old`."""
-    places = {row: index for index, row in enumerate(old)}
+    indexes = {row: index for index, row in enumerate(old)}
     first, end = 0, 0
     added: list[bytes] = []
     runs: list[Run] = []
     for row in new:
-        place = places.get(row)
-        if place is None:
+        old_index = indexes.get(row)
+        if old_index is None:
             added.append(row)
-        elif place == end and not added:
+        elif old_index == end and not added:
             end += 1
         else:
             runs.append(Run(first, end, tuple(added)))
-            first, end, added = place, place + 1, []
+            first, end, added = old_index, old_index + 1, []
     runs.append(Run(first, end, tuple(added)))
     return tuple(runs)
 
@@ -78,7 +81,7 @@
     patched: list[bytes] = []
     for run in runs:
         if not 0 <= run.first <= run.end <= len(old):
-            raise IndexError("a run beyond the rows held")
+            raise IndexError("run is outside the old rows")
         patched += old[run.first : run.end]
         patched += run.new
     return tuple(patched)
--- a/hyssopfold/core/distribution/messages.py
+++ b/hyssopfold/core/distribution/messages.py
@@ -2,15 +2,17 @@
 
 from typing import NamedTuple
 
+# Longer than any real time: the age of a revision that was never confirmed,
+# and a deadline that is never due.
 NEVER_S = 1e9
 
 
 class Update(NamedTuple):
-    """What one instance tells another of its revision.
+    """What brings a follower from its revision to the newest one.
 
     `base` is the revision that `payload` is a difference from; 0 means that
-    the payload is the whole value. An empty payload tells of nothing newer.
-    `digest` is that of the whole value at `revision`.
+    the payload is the whole value. An empty payload means that the sender has
+    nothing newer. `digest` is that of the whole value at `revision`.
     """
 
     revision: int
@@ -20,7 +22,11 @@
 
 
 class UpdateModes(NamedTuple):
-    """Which ways a follower learns of revisions by."""
+    """The modes by which a follower learns of revisions.
+
+    `push` keeps a poll pending at a control instance, `pull` polls
+    periodically, `piggyback` uses the revisions in other messages.
+    """
 
     push: bool = True
     pull: bool = True
@@ -28,13 +34,13 @@
 
 
 class Tick(NamedTuple):
-    """Time went on to `Follower.next_deadline`."""
+    """Event: the time of `Follower.next_deadline` has come."""
 
 
 class RevisionReported(NamedTuple):
-    """A message of `source` told that it has `revision` in force.
+    """Event: a message of `source` says that it has `revision` in force.
 
-    `source` is an address to ask, or empty when it serves no one.
+    `source` is an address to poll, or empty if it answers no polls.
     """
 
     source: str
@@ -42,11 +48,11 @@
 
 
 class PollAnswered(NamedTuple):
-    """The answer to a `SendPoll`.
+    """Event: the answer to a `SendPoll`.
 
-    `strong` says that a majority confirmed the revision after the question
-    was asked; `age_s` is the time since one did so last, `waited_s` how long
-    the question was held before it was answered, both in seconds.
+    `strong` says that a majority confirmed the revision after the poll was
+    sent; `age_s` is the time since the last such confirmation, `waited_s` how
+    long the poll was pending before it was answered, both in seconds.
     """
 
     poll_id: int
@@ -57,7 +63,7 @@
 
 
 class PollFailed(NamedTuple):
-    """A `SendPoll` came to nothing."""
+    """Event: a `SendPoll` failed."""
 
     poll_id: int
 
@@ -66,10 +72,11 @@
 
 
 class SendPoll(NamedTuple):
-    """Effect: ask `source` for what is above `have`.
+    """Effect: ask `source` for a revision above `have`.
 
-    It may hold the question for `wait_s` until it has something newer; the
-    call ends in `PollAnswered` or `PollFailed` within `timeout_s`.
+    The source may keep the poll pending for `wait_s` until it has a newer
+    revision; the poll ends in `PollAnswered` or `PollFailed` within
+    `timeout_s`.
     """
 
     poll_id: int
--- a/hyssopfold/core/distribution/rows.py
+++ b/hyssopfold/core/distribution/rows.py
@@ -11,14 +11,14 @@
 
 
 class Rows(NamedTuple):
-    """A canonical value, taken apart without being understood.
+    """A canonical value, split without knowledge of its fields.
 
     The value is a JSON array. Each of its items that is an array of arrays
     of arrays (the tables) gives a section for each table; any other array
-    gives one section; `shape` says for each item of the value how many
-    sections it took, 0 for an item that is no array and stands in a section
-    as its only row. Programs of different ages thus compare values whose
-    fields they do not know.
+    gives one section; `shape` has for each item of the value the number of
+    its sections plus one if it is tables, 1 if it is another array, and 0 if
+    it is no array and is the only row of a section. Programs of different
+    versions can thus compare values with fields that they do not know.
     """
 
     shape: tuple[int, ...]
@@ -26,7 +26,7 @@
 
 
 def digest(value: bytes) -> bytes:
-    """Return the digest by which two instances know their values equal."""
+    """Return the digest by which two instances compare their values."""
     return hashlib.blake2b(value, digest_size=DIGEST_BYTES).digest()
 
 
@@ -45,7 +45,8 @@
             continue
         parts = _items(raw)
         if parts and all(_is_table(part) for part in parts):
-            # A group of tables; told from rows by holding arrays alone.
+            # Tables, which differ from rows in that all items of theirs are
+            # arrays.
             shape.append(len(parts) + 1)
             sections += [_items(part) for part in parts]
         else:
@@ -58,11 +59,11 @@
     """Return the value that was split into `rows`.
 
     Raises:
-        ValueError: if shape and sections do not fit together.
+        ValueError: if shape and sections do not match.
     """
-    needed = sum(max(1, count - 1) for count in rows.shape)
-    if needed != len(rows.sections) or min(rows.shape, default=0) < 0:
-        raise ValueError("shape and sections do not fit together")
+    expected = sum(max(1, count - 1) for count in rows.shape)
+    if expected != len(rows.sections) or min(rows.shape, default=0) < 0:
+        raise ValueError("shape and sections do not match")
     if not rows.shape:
         return b""
     sections = iter(rows.sections)
--- a/tests/steps/core/distribution/follower_steps.py
+++ b/tests/steps/core/distribution/follower_steps.py
@@ -250,7 +250,7 @@
 
 def _follower(context, unreadable=follower.always_readable):
     context.core = follower.Follower(
-        ["control-1"], random.Random(SEED), unreadable=unreadable
+        ["control-1"], random.Random(SEED), unreadable_reason=unreadable
     )
     context.now = 0.0
     context.effects = []
