--- a/tests/core/membership/directory.feature
+++ b/tests/core/membership/directory.feature
@@ -1,24 +1,24 @@
 Feature: directory of servers
-  A server announces that it is leaving. An older `ready`, delayed on its way
-  through another entry, arrives after it. If it were believed, new payments
-  would go to a server that is about to stop.
+  Guards against new requests to a server that is about to stop. The server
+  announces that it is leaving, and a `ready` sent before that arrives late
+  through another entry.
 
   Background:
     Given a directory with leases of 4 s
 
   Scenario: a late ready does not bring a leaving server back
-    When server "ledger-1" says ready as 1.1 at 0 s
-    And server "ledger-1" says leaving as 1.3 at 1 s
-    And server "ledger-1" says ready as 1.2 at 1 s
-    And server "ledger-1" says ready as 1.4 at 2 s
+    When server "ledger-1" announces ready as 1.1 at 0 s
+    And server "ledger-1" announces leaving as 1.3 at 1 s
+    And server "ledger-1" announces ready as 1.2 at 1 s
+    And server "ledger-1" announces ready as 1.4 at 2 s
     Then no server is ready
 
   Scenario: a new incarnation is a new server
-    When server "ledger-1" says leaving as 1.3 at 1 s
-    And server "ledger-1" says ready as 2.1 at 2 s
+    When server "ledger-1" announces leaving as 1.3 at 1 s
+    And server "ledger-1" announces ready as 2.1 at 2 s
     Then server "ledger-1" is ready
 
-  Scenario: a silent server is gone when its lease ends
-    When server "ledger-1" says ready as 1.1 at 0 s
+  Scenario: a silent server is dropped when its lease ends
+    When server "ledger-1" announces ready as 1.1 at 0 s
     And time is 4 s
     Then no server is ready
--- a/tests/steps/core/membership/directory_steps.py
+++ b/tests/steps/core/membership/directory_steps.py
@@ -30,7 +30,8 @@
 
 
 @when(
-    'server "{name}" says {state} as {incarnation:d}.{sequence:d} at {at:d} s'
+    'server "{name}" announces {state} as {incarnation:d}.{sequence:d}'
+    " at {at:d} s"
 )
 def _(context, name, state, incarnation, sequence, at):
     server = _server(name, state, incarnation, sequence)
--- a/tests/steps/core/membership/gossip_protocol_steps.py
+++ b/tests/steps/core/membership/gossip_protocol_steps.py
@@ -6,7 +6,7 @@
 
 from tests.support import fake_gossip
 
-ONE = "server-0001"
+SERVER_ID = "server-0001"
 
 
 @given(
@@ -17,27 +17,24 @@
     context.gossip = fake_gossip.FakeGossip(1, count, regions, servers)
     context.gossip.loss = loss
     context.gossip.run(12)
-    _check_all_known(context.gossip, servers, count)
+    _check_complete(context.gossip, servers, count)
 
 
-def _check_all_known(gossip, servers, instances=None):
+def _check_complete(gossip, servers, instances=None):
     for name, node in gossip.live().items():
         ready = node.directory.ready_servers("ledger")
         assert len(ready) == servers, (name, len(ready))
         if instances is not None:
-            known = list(node.directory.instances.records())
-            assert len(known) == instances, (name, len(known))
+            records = list(node.directory.instances.records())
+            assert len(records) == instances, (name, len(records))
 
 
-@when("a fresh instance starts")
+@when("a new instance starts")
 def _(context):
     context.name = context.gossip.start()
 
 
-@then(
-    "it knows {count:d} servers when it says that it is ready,"
-    " within {seconds:g} s"
-)
+@then("it knows {count:d} servers when it becomes ready, within {seconds:g} s")
 def _(context, count, seconds):
     gossip = context.gossip
     node = gossip.nodes[context.name]
@@ -50,42 +47,44 @@
     assert len(node.directory.ready_servers("ledger")) == count
 
 
-@when("words get lost at a rate of {loss:g}")
+@when("datagrams are lost at a rate of {loss:g}")
 def _(context, loss):
     context.gossip.loss = loss
 
 
-@when("a server says to one instance that it leaves")
+@when("a server announces to one instance that it leaves")
 def _(context):
-    context.gossip.announce(ONE, "leaving")
+    context.gossip.announce(SERVER_ID, "leaving")
 
 
 @when("a server falls silent")
 def _(context):
-    context.gossip.silent.add(ONE)
+    context.gossip.silent.add(SERVER_ID)
 
 
-@then("within {seconds:d} s no instance takes the server for ready")
+@then("within {seconds:d} s no instance has the server as ready")
 def _(context, seconds):
     context.gossip.run(seconds)
-    assert not context.gossip.ready_at(ONE), context.gossip.ready_at(ONE)
+    assert not context.gossip.ready_at(SERVER_ID), context.gossip.ready_at(
+        SERVER_ID
+    )
 
 
-@when("the instance that hears a server dies")
+@when("the monitor of a server dies")
 def _(context):
-    context.gossip.dead.add(context.gossip.told[ONE])
+    context.gossip.dead.add(context.gossip.announces_to[SERVER_ID])
 
 
 @when("the server announces itself to another instance")
 def _(context):
     gossip = context.gossip
-    old = gossip.told[ONE]
-    for server_id, name in gossip.told.items():
+    old = gossip.announces_to[SERVER_ID]
+    for server_id, name in gossip.announces_to.items():
         if name == old:
             region = gossip.servers[server_id].region
-            gossip.told[server_id] = next(
-                one
-                for one, node in gossip.live().items()
+            gossip.announces_to[server_id] = next(
+                live_name
+                for live_name, node in gossip.live().items()
                 if node.myself.region == region
             )
 
@@ -94,7 +93,7 @@
 def _(context, seconds):
     for _ in range(seconds):
         context.gossip.run(1)
-        ready = context.gossip.ready_at(ONE)
+        ready = context.gossip.ready_at(SERVER_ID)
         assert len(ready) == len(context.gossip.live()), ready
 
 
@@ -111,25 +110,27 @@
     gossip = context.gossip
     inside = _of_region(gossip, "r1")
     outside = gossip.nodes.keys() - inside
-    for one in inside:
+    for name in inside:
         for other in outside:
-            gossip.cut |= {(one, other), (other, one)}
+            gossip.cut |= {(name, other), (other, name)}
     context.outside = outside
 
 
 def _servers_of(node, region):
     ready = node.directory.ready_servers("ledger")
-    return [one for one in ready if one.region == region]
+    return [server for server in ready if server.region == region]
 
 
-@then("after {seconds:d} s the others still take its servers for ready")
+@then("after {seconds:d} s the others still have its servers as ready")
 def _(context, seconds):
     context.gossip.run(seconds)
     for name in context.outside:
         node = context.gossip.nodes[name]
         assert not [
-            one for one in node.directory.ready_entries() if one.region == "r1"
-        ], "its entries are gone"
+            entry
+            for entry in node.directory.ready_entries()
+            if entry.region == "r1"
+        ], "entries of the region are still ready"
         assert len(_servers_of(node, "r1")) == 8, name
 
 
@@ -140,7 +141,7 @@
         assert not _servers_of(context.gossip.nodes[name], "r1"), name
 
 
-@when("the cut heals")
+@when("the cut ends")
 def _(context):
     context.gossip.cut.clear()
 
@@ -148,7 +149,7 @@
 @then("after {seconds:d} s all instances know {count:d} servers")
 def _(context, seconds, count):
     context.gossip.run(seconds)
-    _check_all_known(context.gossip, count)
+    _check_complete(context.gossip, count)
 
 
 @when("an instance dies")
@@ -164,16 +165,16 @@
         assert node.directory.instances.get(context.name) is None
 
 
-@when("datagrams are doubled and delayed at random for {seconds:d} s")
+@when("datagrams are duplicated and delayed at random for {seconds:d} s")
 def _(context, seconds):
-    context.gossip.doubling = 0.5
+    context.gossip.duplication = 0.5
     context.gossip.delay_s = 3.0
     context.gossip.run(seconds)
 
 
 @then("all instances know {servers:d} servers and {instances:d} instances")
 def _(context, servers, instances):
-    _check_all_known(context.gossip, servers, instances)
+    _check_complete(context.gossip, servers, instances)
 
 
 @then("a node sends less than {limit:d} bytes a second")
@@ -190,31 +191,35 @@
     context.gossip.run(seconds)
 
 
-@when("a server asks {where} to be taken out")
+@when("a server asks {where} to be removed")
 def _(context, where):
     gossip = context.gossip
-    name = gossip.told[ONE]
+    name = gossip.announces_to[SERVER_ID]
     if where == "another instance":
-        name = next(one for one in gossip.nodes if one != name)
-    gossip.carry(name, gossip.nodes[name].dismiss(ONE, gossip.now))
+        name = next(other for other in gossip.nodes if other != name)
+    gossip.execute(name, gossip.nodes[name].dismiss(SERVER_ID, gossip.now))
 
 
-@then("for {seconds:d} s of further words it stays out")
+@then("it is not ready during {seconds:d} s of further announcements")
 def _(context, seconds):
     for _ in range(seconds * 10):
         context.gossip.run(0.1)
-        assert not context.gossip.ready_at(ONE), context.gossip.ready_at(ONE)
+        assert not context.gossip.ready_at(SERVER_ID), context.gossip.ready_at(
+            SERVER_ID
+        )
 
 
-@then("within {seconds:d} s every other instance suspects it and nobody else")
+@then("within {seconds:d} s every other instance suspects it and no other")
 def _(context, seconds):
     gossip = context.gossip
     gossip.run(seconds)
-    for name, one in gossip.nodes.items():
+    for name, node in gossip.nodes.items():
         if name in gossip.dead:
             continue
         suspects = {
-            other for other in gossip.nodes if one.is_suspect(other, gossip.now)
+            other
+            for other in gossip.nodes
+            if node.is_suspect(other, gossip.now)
         }
         assert suspects == gossip.dead, (name, suspects)
 
@@ -224,40 +229,46 @@
     gossip = context.gossip
     for _ in range(seconds * 4):
         gossip.run(0.25)
-        for name, one in gossip.nodes.items():
+        for name, node in gossip.nodes.items():
             suspects = [
                 other
                 for other in gossip.nodes
-                if one.is_suspect(other, gossip.now)
+                if node.is_suspect(other, gossip.now)
             ]
             assert not suspects, (gossip.now, name, suspects)
 
 
-@when("a server becomes cold for {seconds:d} s, and all know")
+@when("a server becomes cold for {seconds:d} s, and all instances know")
 def _(context, seconds):
     gossip = context.gossip
-    context.word_before = gossip.servers[ONE]
-    gossip.chill(ONE, seconds)
+    context.previous_announcement = gossip.servers[SERVER_ID]
+    gossip.make_cold(SERVER_ID, seconds)
     gossip.run(0.5)
-    assert gossip.cold_at(ONE) == list(gossip.live())
+    assert gossip.cold_at(SERVER_ID) == list(gossip.live())
 
 
-@when("what it said before arrives late at another instance")
+@when("its previous announcement arrives late at another instance")
 def _(context):
     gossip = context.gossip
-    other = next(name for name in gossip.live() if name != gossip.told[ONE])
-    effects = gossip.nodes[other].announce(context.word_before, gossip.now)
-    gossip.carry(other, effects)
+    other = next(
+        name for name in gossip.live() if name != gossip.announces_to[SERVER_ID]
+    )
+    effects = gossip.nodes[other].announce(
+        context.previous_announcement, gossip.now
+    )
+    gossip.execute(other, effects)
 
 
-@then("every instance takes it for cold")
+@then("every instance has it as cold")
 def _(context):
     gossip = context.gossip
-    assert gossip.cold_at(ONE) == list(gossip.live())
+    assert gossip.cold_at(SERVER_ID) == list(gossip.live())
 
 
-@then("for {seconds:d} s no instance takes it for cold")
+@then("for {seconds:d} s no instance has it as cold")
 def _(context, seconds):
     for _ in range(seconds * 10):
         context.gossip.run(0.1)
-        assert not context.gossip.cold_at(ONE), context.gossip.cold_at(ONE)
+        assert not context.gossip.cold_at(SERVER_ID), context.gossip.cold_at(
+            SERVER_ID
+        )
--- a/tests/steps/core/membership/many_steps.py
+++ b/tests/steps/core/membership/many_steps.py
@@ -1,4 +1,4 @@
-"""Steps of core/membership/many.feature and its parts."""
+"""Steps of core/membership/many*.feature."""
 
 from behave import given
 from behave import then
@@ -7,13 +7,18 @@
 
 from tests.support import fake_gossip
 
-ONE = "server-0001"
-CONTROL = 9
+SERVER_ID = "server-0001"
+CONTROL_INSTANCES = 9
 
 
 def _start(context, instances, regions, domains, servers):
     context.gossip = fake_gossip.FakeGossip(
-        1, instances, regions, servers, domains, min(CONTROL, instances // 4)
+        1,
+        instances,
+        regions,
+        servers,
+        domains,
+        min(CONTROL_INSTANCES, instances // 4),
     )
 
 
@@ -32,45 +37,45 @@
 def _(context, instances, regions, domains, servers):
     _start(context, instances, regions, domains, servers)
     context.gossip.run(10)
-    _check_known(context.gossip)
+    _check_complete(context.gossip)
 
 
-def _check_known(gossip):
+def _check_complete(gossip):
     for name, node in gossip.live().items():
         ready = node.directory.ready_servers("ledger")
         assert len(ready) == len(gossip.servers), (name, len(ready))
-        known = node.directory.instances.size
-        assert known == len(gossip.nodes), (name, known)
+        size = node.directory.instances.size
+        assert size == len(gossip.nodes), (name, size)
 
 
-@when("{seconds:d} s pass among the many instances")
+@when("{seconds:d} s pass for the many instances")
 def _(context, seconds):
     context.gossip.run(seconds)
 
 
 @then("each of the many instances knows all servers and instances")
 def _(context):
-    _check_known(context.gossip)
+    _check_complete(context.gossip)
 
 
-@then("none of them got more than {times:d} times what there is to know")
+@then("none of them received more than {times:d} times the size of all records")
 def _(context, times):
     gossip = context.gossip
     node = next(iter(gossip.nodes.values()))
-    words = [
+    records = [
         *node.directory.instances.records(),
         *node.directory.servers.records(),
     ]
-    size = len(msgspec.msgpack.encode(words))
+    size = len(msgspec.msgpack.encode(records))
     most = max(gossip.received_bytes.values())
     assert most < times * size, (most, size)
 
 
-@then("less than {limit:d} KB went between regions for each of them")
+@then("less than {limit:d} KB were sent between regions for each of them")
 def _(context, limit):
     gossip = context.gossip
-    each = gossip.far_bytes / len(gossip.nodes) / 1000
-    assert 0 < each < limit, each
+    kilobytes = gossip.far_bytes / len(gossip.nodes) / 1000
+    assert 0 < kilobytes < limit, kilobytes
 
 
 @when("{loss:g} of the datagrams among the many instances are lost")
@@ -80,36 +85,38 @@
 
 @when("one of their servers leaves")
 def _(context):
-    context.gossip.announce(ONE, "leaving")
+    context.gossip.announce(SERVER_ID, "leaving")
 
 
-@then("within {seconds:d} s none of the many instances takes it for ready")
+@then("within {seconds:d} s none of the many instances has it as ready")
 def _(context, seconds):
     context.gossip.run(seconds)
-    assert not context.gossip.ready_at(ONE), context.gossip.ready_at(ONE)
+    assert not context.gossip.ready_at(SERVER_ID), context.gossip.ready_at(
+        SERVER_ID
+    )
 
 
 @when("one of their servers becomes cold for {seconds:d} s")
 def _(context, seconds):
-    context.gossip.chill(ONE, seconds)
+    context.gossip.make_cold(SERVER_ID, seconds)
 
 
-@then("within {seconds:d} s all of the many instances take it for cold")
+@then("within {seconds:d} s all of the many instances have it as cold")
 def _(context, seconds):
     gossip = context.gossip
     gossip.run(seconds)
-    assert gossip.cold_at(ONE) == list(gossip.live())
+    assert gossip.cold_at(SERVER_ID) == list(gossip.live())
 
 
 @when("half of the instances of one failure domain die")
 def _(context):
     gossip = context.gossip
-    inside = [
+    entries = [
         name
         for name, node in gossip.nodes.items()
         if node.myself.failure_domain == "d4" and node.myself.role == "entry"
     ]
-    gossip.dead |= set(inside[::2])
+    gossip.dead |= set(entries[::2])
 
 
 @when("one of the many instances dies")
@@ -123,19 +130,19 @@
     _check_suspects(context.gossip, context.gossip.dead)
 
 
-def _check_suspects(gossip, wanted, but=""):
+def _check_suspects(gossip, expected, ignored=""):
     for name, node in gossip.live().items():
-        if name == but:
+        if name == ignored:
             continue
         suspects = {
             other
             for other in gossip.nodes
             if node.is_suspect(other, gossip.now)
         }
-        assert suspects == wanted, (name, suspects)
+        assert suspects == expected, (name, suspects)
 
 
-@when("one of the many instances stands still for {seconds:d} s")
+@when("one of the many instances is stopped for {seconds:d} s")
 def _(context, seconds):
     gossip = context.gossip
     context.name = list(gossip.nodes)[-1]
@@ -145,30 +152,34 @@
     gossip.run(3)
 
 
-@then("nobody else is suspected by the many instances")
+@then("the many instances suspect no other instance")
 def _(context):
-    _check_suspects(context.gossip, set(), but=context.name)
+    _check_suspects(context.gossip, set(), ignored=context.name)
 
 
 @when("one of their servers falls silent for good")
 def _(context):
-    context.gossip.silent.add(ONE)
+    context.gossip.silent.add(SERVER_ID)
 
 
-@then("after {seconds:d} s none of the many instances holds a word of it")
+@then("after {seconds:d} s none of the many instances has a record of it")
 def _(context, seconds):
     context.gossip.run(seconds)
     for name, node in context.gossip.live().items():
-        assert node.directory.servers.get(ONE) is None, name
+        assert node.directory.servers.get(SERVER_ID) is None, name
 
 
 @when("all servers of one of the many instances move to another")
 def _(context):
     gossip = context.gossip
-    old = gossip.told[ONE]
+    old = gossip.announces_to[SERVER_ID]
     new = next(name for name in gossip.nodes if name != old)
-    moved = [one for one, at in gossip.told.items() if at == old]
-    gossip.told |= dict.fromkeys(moved, new)
+    moved = [
+        server_id
+        for server_id, name in gossip.announces_to.items()
+        if name == old
+    ]
+    gossip.announces_to |= dict.fromkeys(moved, new)
 
 
 @then("the other servers are ready at all of the many instances")
--- a/tests/support/fake_gossip.py
+++ b/tests/support/fake_gossip.py
@@ -1,4 +1,4 @@
-"""Cores of gossip joined by a fake network, in virtual time."""
+"""Gossip protocols connected by a fake network, in virtual time."""
 
 import collections
 import heapq
@@ -40,18 +40,18 @@
     """Instances, and servers that announce themselves each second.
 
     Args:
-        seed: Seed of everything random.
-        instances: How many start, all at once.
-        regions: Regions that they and the servers are spread over.
-        servers: How many announce themselves.
-        domains: Failure domains of a region.
-        control: How many are control instances, which servers announce to.
+        seed: Seed of all random choices.
+        instances: Number of instances, which start at the same time.
+        regions: Number of regions of the instances and servers.
+        servers: Number of servers.
+        domains: Number of failure domains of a region.
+        control: Number of control instances, which servers announce to.
     """
 
     def __init__(self, seed, instances, regions, servers, domains=1, control=0):
         self.rng = random.Random(seed)
         self.now = 0.0
-        self.loss = self.doubling = 0.0
+        self.loss = self.duplication = 0.0
         self.delay_s = 0.002
         self.regions = regions
         self.nodes = {}
@@ -71,40 +71,43 @@
             _instance(number, regions).gossip_address
             for number in range(min(3, instances))
         )
-        self._regions_at = {}
+        self._region_of_address = {}
         for _ in range(instances):
             self.start()
         names = list(self.nodes)
         self.servers = {}
-        self.told = {}
+        # The instance that each server announces itself to.
+        self.announces_to = {}
         for number in range(servers):
-            word = _server(number, regions)
-            self.servers[word.server_id] = word
-            near = [
+            server = _server(number, regions)
+            self.servers[server.server_id] = server
+            receivers = [
                 name
                 for name in names
-                if self.nodes[name].myself.region == word.region
+                if self.nodes[name].myself.region == server.region
             ]
             if control:
-                near = names[:control]
-            self.told[word.server_id] = near[number // regions % len(near)]
+                receivers = names[:control]
+            self.announces_to[server.server_id] = receivers[
+                number // regions % len(receivers)
+            ]
         self.silent = set()
         self._cold_until = {}
 
-    def chill(self, server_id, seconds):
-        """Let a server become cold, and say so."""
+    def make_cold(self, server_id, seconds):
+        """Make a server cold, and let it announce that."""
         self._cold_until[server_id] = self.now + seconds
         self.announce(server_id)
 
     def start(self):
-        """Start a fresh instance; return its name."""
+        """Start a new instance; return its name."""
         number = next(self._numbers)
         me = _instance(number, self.regions, self.domains, self.control)
-        self._regions_at[me.gossip_address] = me.region
+        self._region_of_address[me.gossip_address] = me.region
         rng = random.Random(self.rng.random())
-        known = directory.Directory(LEASE_S)
+        member_directory = directory.Directory(LEASE_S)
         self.nodes[me.name] = gossip_protocol.GossipProtocol(
-            me, self.seeds, known, LEASE_S, rng, self.now
+            me, self.seeds, member_directory, LEASE_S, rng, self.now
         )
         return me.name
 
@@ -116,16 +119,16 @@
             if name not in self.dead
         }
 
-    def carry(self, name, effects):
-        """Send what an instance wants sent, through the wire's codec."""
+    def execute(self, name, effects):
+        """Send an instance's datagrams, encoded as on the wire."""
         for effect in effects:
             if not isinstance(effect, effects_module.Send):
                 continue
             for data in datagram_wire.encode(effect.datagram):
                 self.sent += 1
                 self.sent_bytes += len(data) + _UDP_BYTES
-                mine = self.nodes[name].myself.region
-                if self._regions_at.get(effect.address) != mine:
+                region = self.nodes[name].myself.region
+                if self._region_of_address.get(effect.address) != region:
                     self.far_bytes += len(data) + _UDP_BYTES
                 self._send(name, effect.address, data)
         if self.nodes[name].has_news:
@@ -134,27 +137,29 @@
     def _send(self, name, address, data):
         if self.rng.random() < self.loss:
             return
-        copies = 2 if self.rng.random() < self.doubling else 1
+        copies = 2 if self.rng.random() < self.duplication else 1
         for _ in range(copies):
             at = self.now + self.rng.uniform(0.0, self.delay_s)
             item = (at, next(self._order), name, address, data)
             heapq.heappush(self._queue, item)
 
     def announce(self, server_id, state=None):
-        """Let a server announce itself where it is told to."""
-        word = self.servers[server_id]
+        """Let a server announce itself to its instance."""
+        server = self.servers[server_id]
         left_s = max(0.0, self._cold_until.get(server_id, 0.0) - self.now)
-        word = word._replace(sequence=word.sequence + 1, cold_left_s=left_s)
+        server = server._replace(
+            sequence=server.sequence + 1, cold_left_s=left_s
+        )
         if state is not None:
-            word = word._replace(state=state)
-        self.servers[server_id] = word
-        name = self.told[server_id]
+            server = server._replace(state=state)
+        self.servers[server_id] = server
+        name = self.announces_to[server_id]
         if name not in self.dead:
-            effects = self.nodes[name].announce(word, self.now)
-            self.carry(name, effects)
+            effects = self.nodes[name].announce(server, self.now)
+            self.execute(name, effects)
 
     def run(self, seconds):
-        """Deliver datagrams and pass time."""
+        """Deliver datagrams and let virtual time pass."""
         until = self.now + seconds
         by_address = {
             node.myself.gossip_address: name
@@ -167,23 +172,29 @@
                 break
             if min(flush, self._next_tick) <= due:
                 self.now = min(flush, self._next_tick)
-                self._pass_time()
+                self._run_timers()
                 continue
             self.now, _, sender, address, data = heapq.heappop(self._queue)
-            to = by_address.get(address)
-            if to is None or to in self.dead or (sender, to) in self.cut:
+            receiver = by_address.get(address)
+            if (
+                receiver is None
+                or receiver in self.dead
+                or (sender, receiver) in self.cut
+            ):
                 continue
-            self.received_bytes[to] += len(data) + _UDP_BYTES
+            self.received_bytes[receiver] += len(data) + _UDP_BYTES
             datagram = datagram_wire.decode(data)
-            self.carry(to, self.nodes[to].receive(datagram, self.now))
+            self.execute(
+                receiver, self.nodes[receiver].receive(datagram, self.now)
+            )
         self.now = until
 
-    def _pass_time(self):
+    def _run_timers(self):
         for name, at in list(self._flush_at.items()):
             if at <= self.now:
                 del self._flush_at[name]
                 if name not in self.dead:
-                    self.carry(name, self.nodes[name].flush(self.now))
+                    self.execute(name, self.nodes[name].flush(self.now))
         if self._next_tick <= self.now:
             self._next_tick += gossip_protocol.PERIOD_S
             self._tick()
@@ -194,10 +205,10 @@
                 if server_id not in self.silent:
                     self.announce(server_id)
         for name, node in self.live().items():
-            self.carry(name, node.tick(self.now))
+            self.execute(name, node.tick(self.now))
 
     def cold_at(self, server_id):
-        """Return the live instances that take a server for cold."""
+        """Return the live instances whose directory has a server as cold."""
         return [
             name
             for name, node in self.live().items()
@@ -205,10 +216,10 @@
         ]
 
     def ready_at(self, server_id):
-        """Return the live instances that take a server for ready."""
-        found = []
+        """Return the live instances whose directory has a server as ready."""
+        names = []
         for name, node in self.live().items():
             ready = node.directory.ready_servers("ledger")
-            if any(one.server_id == server_id for one in ready):
-                found.append(name)
-        return found
+            if any(server.server_id == server_id for server in ready):
+                names.append(name)
+        return names
