--- a/tests/steps/core/membership/many_steps.py
+++ b/tests/steps/core/membership/many_steps.py
@@ -176,8 +176,8 @@
     new = next(name for name in gossip.nodes if name != old)
     moved = [
         server_id
-        for server_id, name in gossip.announces_to.items()
-        if name == old
+        for server_id, receiver in gossip.announces_to.items()
+        if receiver == old
     ]
     gossip.announces_to |= dict.fromkeys(moved, new)
 
