--- a/tests/core/distribution/difference.feature
+++ b/tests/core/distribution/difference.feature
@@ -1,9 +1,10 @@
 Feature: differences between revisions
-  An operator changes one row of hundreds; each entry receives only that row.
-  If the difference were put on another value than it was made from, entries
-  would route by tables that nobody accepted, so a digest of the whole decides.
+  An operator changes one row of hundreds, and each entry receives only that
+  row. If a difference were applied to another value than it was made from,
+  entries would route by tables that were never accepted; a digest of the
+  whole value guards against that.
 
-  Scenario: any two values, in any order of rows
+  Scenario: random values with rows in any order
     When distribution differences between random values are applied
     Then each distribution result had exactly the bytes of the new value
 
@@ -12,12 +13,12 @@
     When a distribution follower at revision 1 is answered
     Then the distribution answer takes less than 200 bytes
 
-  Scenario: five hundred changes missed
+  Scenario: five hundred missed changes
     Given a distribution history of 501 revisions with 40 rows
     When a distribution follower at revision 1 is answered
     Then the distribution answer alone gives the bytes of revision 501
 
-  Scenario: a value that no longer is what the history has
+  Scenario: a value other than that of the history
     Given a distribution history of 2 revisions with 40 rows
     When a distribution follower with another value at revision 1 is answered
     Then the distribution answer is the whole value
--- a/tests/core/distribution/follower.feature
+++ b/tests/core/distribution/follower.feature
@@ -1,8 +1,8 @@
-Feature: every entry comes to the newest revision and never goes back
-  Operators see a change accepted and expect it in force everywhere within
-  seconds. Messages are lost, control instances are cut off in silence and
-  entries restart; an entry that started from an old word, or went back to
-  it, would send callers to servers that were taken away.
+Feature: every entry installs the newest revision and never an older one
+  Operators see that a change was accepted and expect it in force everywhere
+  within seconds. Messages are lost, control instances are cut off without
+  noticing, and entries restart. An entry that started from an old revision,
+  or went back to one, would send callers to servers that were removed.
 
   Scenario Outline: a change reaches all entries within the bound
     Given a distribution network of 12 entries that loses <loss> %
@@ -16,14 +16,14 @@
       | 10   |
       | 30   |
 
-  Scenario Outline: one way alone brings the change
+  Scenario Outline: some modes alone bring the change
     Given a distribution network of 12 entries that loses <loss> %
-    And distribution by <ways>
+    And distribution by <modes>
     When a change is accepted on the distribution network
     Then the distribution network has it in force everywhere within <bound> s
 
     Examples:
-      | ways                | loss | bound |
+      | modes               | loss | bound |
       | push                | 0    | 1     |
       | push                | 10   | 26    |
       | push                | 30   | 40    |
@@ -41,7 +41,7 @@
     When a change is accepted on the distribution network
     Then the distribution network has it in force everywhere within 13 s
 
-  Scenario: a stale control instance answers a booting entry
+  Scenario: a stale control instance answers a starting entry
     Given a distribution network of 1 entries that loses 0 %
     And distribution by push, pull and piggyback
     And control instance 1 is cut off from the others but not from entries
@@ -50,69 +50,69 @@
     Then the distribution entry has nothing in force after 60 s
     And the distribution entry starts at the newest revision when it reaches all
 
-  Scenario: a majority of stale words is no single stale word
+  Scenario: unconfirmed answers of a majority are enough to start
     Given a distribution network of 1 entries that loses 0 %
     And distribution by push, pull and piggyback
     And 3 changes are accepted on the distribution network
     And no control instance reaches another any more
     When the distribution entry restarts
-    Then the distribution entry comes to revision 3 within 5 s
+    Then the distribution entry installs revision 3 within 5 s
 
   Scenario: an entry restarts after 500 changes
     Given a distribution network of 2 entries that loses 0 %
     And distribution by push, pull and piggyback
-    When 500 changes pass a frozen distribution entry by, and another restarts
+    When a distribution entry misses 500 changes frozen, and another restarts
     Then both distribution entries took one step to the newest revision
 
-  Scenario: control is cut off from a region for long, then back
+  Scenario: control is cut off from a region for long, then reachable again
     Given a distribution network of 6 entries that loses 0 %
     And distribution by push, pull and piggyback
     When control is cut off from distribution entries 4 to 6 for 600 s
     And a change is accepted on the distribution network
     Then the distribution network has it in force everywhere within 13 s
-    And the cut distribution entries say that their knowledge is of its peers' age
+    And the cut distribution entries report the age of their peers' revision
 
-  Scenario: nothing reaches an entry for long, then all does
+  Scenario: nothing reaches an entry for long, then everything does
     Given a distribution network of 4 entries that loses 0 %
     And distribution by push, pull and piggyback
     When distribution entry 1 is cut off from everyone for 600 s and 50 changes
-    Then the cut distribution entry served its old revision and told its age
+    Then the cut distribution entry kept its old revision and reported its age
     And the distribution network has it in force everywhere within 13 s
 
-  Scenario: a process is stopped for minutes and goes on
+  Scenario: a process is stopped for minutes and continues
     Given a distribution network of 2 entries that loses 0 %
     And distribution by push, pull and piggyback
-    When distribution entry 1 is stopped for 300 s and cut off when it goes on
-    Then it does not take what lay in its buffers for fresh
+    When distribution entry 1 is stopped for 300 s and cut off when it continues
+    Then it does not take what its buffers contained for fresh
 
   Scenario: one-way cuts
     Given a distribution network of 6 entries that loses 0 %
     And distribution by push, pull and piggyback
-    When no word of control instance 1 and 2 reaches distribution entries 1 to 3
+    When no message of control instance 1 and 2 reaches distribution entries 1 to 3
     And a change is accepted on the distribution network
     Then the distribution network has it in force everywhere within 13 s
 
-  Scenario: a change told by a peer while every control instance is silent
-    The control instance that an entry watches freezes as it accepts a change:
-    the entry answered 404 for a route added 2.0 s before.
+  Scenario: a change reported by a peer while all control instances are silent
+    The control instance that an entry watches freezes as it accepts a change.
+    The entry answered 404 for a route that was added 2.0 s before.
 
-    Then an entry that hears of a change from a peer alone has it within 1 s
+    Then an entry to which only a peer reports a change has it within 1 s
 
-  Scenario: a word of a revision that no one has
+  Scenario: a report of a revision that does not exist
     Given a distribution network of 2 entries that loses 0 %
     And distribution by push, pull and piggyback
-    When a distribution entry hears of revision 1000000 every second for 600 s
-    Then that distribution entry asked at most twice a second
+    When revision 1000000 is reported to a distribution entry each second for 600 s
+    Then that distribution entry polled at most twice a second
     And the distribution network has it in force everywhere within 13 s
 
-  Scenario: an older program meets a value it cannot read
+  Scenario: an older program receives a value it cannot read
     Given a distribution follower that cannot read revision 2
     When it is answered with distribution revisions 1, 2 and 3
     Then it put distribution revisions 1 and 3 in force and reported 2
 
-  Scenario: a difference that does not fit, and one revision with two values
+  Scenario: a difference that does not match, and one revision with two values
     Given a distribution follower at revision 1
-    When it is answered with a spoilt difference, then with another value
+    When it is answered with a wrong difference, then with another value
     Then it reported both, kept its value and asked for the whole one
 
   Scenario: an answer with a lower revision
--- a/tests/steps/core/distribution/difference_steps.py
+++ b/tests/steps/core/distribution/difference_steps.py
@@ -61,8 +61,8 @@
 @when("a distribution follower at revision {have:d} is answered")
 def _(context, have):
     context.have = have
-    mark = rows.digest(context.values[have])
-    context.update = context.recent.update_since(have, mark)
+    digest = rows.digest(context.values[have])
+    context.update = context.recent.update_since(have, digest)
 
 
 @when("a distribution follower with another value at revision 1 is answered")
--- a/tests/steps/core/distribution/follower_steps.py
+++ b/tests/steps/core/distribution/follower_steps.py
@@ -27,9 +27,9 @@
     context.entries, context.loss = entries, loss / 100
 
 
-@given("distribution by {ways}")
-def _(context, ways):
-    chosen = [name in ways for name in messages.UpdateModes._fields]
+@given("distribution by {modes}")
+def _(context, modes):
+    chosen = [name in modes for name in messages.UpdateModes._fields]
     context.net = fake_distribution.FakeNetwork(
         SEED, entries=context.entries, modes=messages.UpdateModes(*chosen)
     )
@@ -74,8 +74,10 @@
 def _(context, bound):
     newest = context.net.newest()
     took = context.net.run_until(lambda: context.net.all_at(newest), bound)
-    stands = {name: context.net.in_force(name) for name in context.net.entries}
-    assert took is not None, (newest, stands)
+    in_force = {
+        name: context.net.in_force(name) for name in context.net.entries
+    }
+    assert took is not None, (newest, in_force)
 
 
 @when("the distribution entry restarts and reaches only control instance 1")
@@ -107,7 +109,7 @@
 
 
 @then(
-    "the distribution entry comes to revision {revision:d} within {bound:d} s"
+    "the distribution entry installs revision {revision:d} within {bound:d} s"
 )
 def _(context, revision, bound):
     net = context.net
@@ -115,7 +117,7 @@
     assert took is not None, net.in_force("entry-1")
 
 
-@when("500 changes pass a frozen distribution entry by, and another restarts")
+@when("a distribution entry misses 500 changes frozen, and another restarts")
 def _(context):
     context.net.freeze("entry-1")
     for _ in range(50):
@@ -131,7 +133,7 @@
 def _(context):
     newest = context.net.newest()
     thawed = context.net.entries["entry-1"].installed
-    # What was on its way to it when it was frozen may come first.
+    # An answer that was sent before it was frozen may arrive first.
     steps = [revision for revision, _ in thawed[context.before :]]
     assert steps[-1] == newest, steps
     assert len(steps) <= 2, steps
@@ -146,9 +148,7 @@
     context.net.run(seconds)
 
 
-@then(
-    "the cut distribution entries say that their knowledge is of its peers' age"
-)
+@then("the cut distribution entries report the age of their peers' revision")
 def _(context):
     net = context.net
     ages = [net.entries[n].core.age_s(net.now) for n in context.region]
@@ -166,7 +166,7 @@
     context.cut_s = seconds
 
 
-@then("the cut distribution entry served its old revision and told its age")
+@then("the cut distribution entry kept its old revision and reported its age")
 def _(context):
     net = context.net
     core = net.entries["entry-1"].core
@@ -175,7 +175,9 @@
     net.cut.clear()
 
 
-@when("no word of control instance 1 and 2 reaches distribution entries 1 to 3")
+@when(
+    "no message of control instance 1 and 2 reaches distribution entries 1 to 3"
+)
 def _(context):
     for control in ("control-1", "control-2"):
         for entry in ("entry-1", "entry-2", "entry-3"):
@@ -184,37 +186,36 @@
 
 
 @when(
-    "a distribution entry hears of revision 1000000 every second"
+    "revision 1000000 is reported to a distribution entry each second"
     " for {seconds:d} s"
 )
 def _(context, seconds):
     net = context.net
     before = net.sent_count["ask"]
     for _ in range(seconds):
-        heard = messages.RevisionReported("entry-2", 1_000_000)
-        net._feed("entry-1", net.entries["entry-1"].core, heard)
+        report = messages.RevisionReported("entry-2", 1_000_000)
+        net._feed("entry-1", net.entries["entry-1"].core, report)
         net.run(1)
     context.rate = (net.sent_count["ask"] - before) / seconds
 
 
-@then("that distribution entry asked at most twice a second")
+@then("that distribution entry polled at most twice a second")
 def _(context):
     assert context.rate < 2, context.rate
     context.net.change()
 
 
 @then(
-    "an entry that hears of a change from a peer alone has it within"
-    " {bound:g} s"
+    "an entry to which only a peer reports a change has it within {bound:g} s"
 )
 def _(context, bound):
     for seed in range(1, 21):
-        took = _learn_from_peer(seed)
+        took = _seconds_from_peer_report(seed)
         assert took is not None and took <= bound, (seed, took)
 
 
-def _learn_from_peer(seed):
-    """Return the seconds from a peer's word to the change in force."""
+def _seconds_from_peer_report(seed):
+    """Return the seconds from a peer's report to the change in force."""
     net = fake_distribution.FakeNetwork(seed, entries=2)
     net.change()
     net.run(SETTLE_S)
@@ -231,55 +232,57 @@
     return messages.Update(revision, rows.digest(value), 0, value)
 
 
-def _asks(effects):
-    return [one for one in effects if isinstance(one, messages.SendPoll)]
+def _polls(effects):
+    return [
+        effect for effect in effects if isinstance(effect, messages.SendPoll)
+    ]
 
 
-def _take(context, update, strong=False):
-    """Answer the newest question of the follower; return the effects."""
+def _answer(context, update, strong=False):
+    """Answer the newest poll of the follower; collect its effects."""
     answer = messages.PollAnswered(
-        context.ask.poll_id, update, strong, 0.0, 0.0
+        context.poll.poll_id, update, strong, 0.0, 0.0
     )
     effects = context.core.handle(answer, context.now)
-    while not _asks(effects):
+    while not _polls(effects):
         context.now = max(context.now, context.core.next_deadline())
         effects += context.core.handle(messages.Tick(), context.now)
-    context.ask = _asks(effects)[-1]
+    context.poll = _polls(effects)[-1]
     context.effects += effects
 
 
-def _follower(context, unreadable=follower.always_readable):
+def _follower(context, unreadable_reason=follower.always_readable):
     context.core = follower.Follower(
-        ["control-1"], random.Random(SEED), unreadable_reason=unreadable
+        ["control-1"], random.Random(SEED), unreadable_reason=unreadable_reason
     )
     context.now = 0.0
     context.effects = []
-    context.ask = _asks(context.core.handle(messages.Tick(), 0.0))[-1]
+    context.poll = _polls(context.core.handle(messages.Tick(), 0.0))[-1]
 
 
 @given("a distribution follower that cannot read revision 2")
 def _(context):
-    hard = fake_distribution.value_of(2)
-    _follower(context, lambda value: "too new" if value == hard else "")
+    unreadable = fake_distribution.value_of(2)
+    _follower(context, lambda value: "too new" if value == unreadable else "")
 
 
 @when("it is answered with distribution revisions 1, 2 and 3")
 def _(context):
     for revision in (1, 2, 3):
-        _take(context, _update(revision), strong=True)
+        _answer(context, _update(revision), strong=True)
 
 
 @then("it put distribution revisions 1 and 3 in force and reported 2")
 def _(context):
     installed = [
-        one.revision
-        for one in context.effects
-        if isinstance(one, messages.Install)
+        effect.revision
+        for effect in context.effects
+        if isinstance(effect, messages.Install)
     ]
     reported = [
-        (one.event, one.revision)
-        for one in context.effects
-        if isinstance(one, messages.Report)
+        (effect.event, effect.revision)
+        for effect in context.effects
+        if isinstance(effect, messages.Report)
     ]
     assert installed == [1, 3], installed
     assert reported == [("unreadable", 2)], reported
@@ -288,31 +291,33 @@
 @given("a distribution follower at revision 1")
 def _(context):
     _follower(context)
-    _take(context, _update(1), strong=True)
+    _answer(context, _update(1), strong=True)
 
 
-@when("it is answered with a spoilt difference, then with another value")
+@when("it is answered with a wrong difference, then with another value")
 def _(context):
     new, old = (
         rows.split(fake_distribution.value_of(revision)) for revision in (2, 1)
     )
     change = difference.between(old, new)
-    _take(context, messages.Update(2, b"another digest..", 1, change))
-    context.asked_after = context.ask
-    _take(context, _update(1, b"[]"))
+    _answer(context, messages.Update(2, b"another digest..", 1, change))
+    context.poll_after = context.poll
+    _answer(context, _update(1, b"[]"))
 
 
 @then("it reported both, kept its value and asked for the whole one")
 def _(context):
     reported = [
-        one.event for one in context.effects if isinstance(one, messages.Report)
+        effect.event
+        for effect in context.effects
+        if isinstance(effect, messages.Report)
     ]
     assert reported == ["mismatch", "diverged"], reported
     assert context.core.value == fake_distribution.value_of(1)
-    assert context.asked_after.digest == b"", context.asked_after
+    assert context.poll_after.digest == b"", context.poll_after
 
 
-@when("distribution entry 1 is stopped for 300 s and cut off when it goes on")
+@when("distribution entry 1 is stopped for 300 s and cut off when it continues")
 def _(context):
     net = context.net
     net.freeze("entry-1")
@@ -322,7 +327,7 @@
     net.run(2)
 
 
-@then("it does not take what lay in its buffers for fresh")
+@then("it does not take what its buffers contained for fresh")
 def _(context):
     age = context.net.entries["entry-1"].core.age_s(context.net.now)
     assert age > 290, age
@@ -330,8 +335,8 @@
 
 @when("it is answered with distribution revisions 5 and 3")
 def _(context):
-    _take(context, _update(5))
-    _take(context, _update(3))
+    _answer(context, _update(5))
+    _answer(context, _update(3))
 
 
 @then("its distribution revision is still 5")
@@ -371,7 +376,7 @@
 
     @stateful.rule(number=strategies.integers(1, 3))
     def isolate_control(self, number):
-        # One at most, so that a majority goes on accepting changes.
+        # At most one, so that a majority still accepts changes.
         names = list(self.net.control)
         self.net.cut = {
             pair for pair in self.net.cut if not set(pair) <= set(names)
@@ -388,7 +393,7 @@
     def restart(self, number):
         name = f"entry-{number}"
         self.net.boot(name)
-        # What a majority has accepted by now, it must start from or above.
+        # It must start at or above what a majority has accepted by now.
         self.starts[name] = self._majority_learned()
 
     @stateful.rule(number=strategies.integers(1, 3), stop=strategies.booleans())
@@ -446,4 +451,4 @@
 
 @then("no distribution invariant broke")
 def _(context):
-    """The run raises when one does."""
+    """The run raises if an invariant breaks."""
--- a/tests/support/fake_distribution.py
+++ b/tests/support/fake_distribution.py
@@ -12,14 +12,14 @@
 
 GOSSIP_PERIOD_S = 1.0
 CONFIRM_PERIOD_S = 1.0
-# What HTTP/2, gRPC, TCP and IP add to a message, a round estimate that
+# What HTTP/2, gRPC, TCP and IP add to a message, a rough estimate that
 # bench/distribution.py measures on real connections.
 FRAME_BYTES = 160
 DATAGRAM_BYTES = 28
 
 
 def value_of(revision, row_count=40):
-    """Return a value whose rows differ in two places from revision to next."""
+    """Return the value of a revision; the next one differs in two rows."""
     routes = [[f"route-{n:04d}", "host", n] for n in range(row_count)]
     routes[revision % row_count][2] = -revision
     pools = [[f"pool-{n}", n] for n in range(4)]
@@ -28,17 +28,17 @@
 
 
 class Control:
-    """A control instance: what it has learned, who waits for more."""
+    """A control instance: its revisions, and the polls pending here."""
 
     def __init__(self, name):
         self.name = name
         self.recent = history.History()
         self.confirmed_at = -messages.NEVER_S
-        self.waiting = []
+        self.pending = []
 
 
 class Entry:
-    """A follower, and what it has put in force when."""
+    """A follower, and the revisions that it installed, with their times."""
 
     def __init__(self, name, core):
         self.name = name
@@ -47,14 +47,15 @@
         self.installed = []
         self.reports = []
         self.running = True
-        self.woken_for = None
+        self.tick_due = None
 
 
 class FakeNetwork:
     """Control instances and entries; loss, cuts, stops.
 
-    `cut` holds pairs (from, to) that lose everything; `loss` is the share
-    of the other messages lost; `delay` gives the seconds a message takes.
+    `cut` holds pairs (from, to) between which all messages are lost; `loss`
+    is the share of the other messages lost; `delay` the least and the most
+    seconds that a message takes.
     """
 
     def __init__(
@@ -88,22 +89,26 @@
         for name in [*self.control, *self.entries]:
             if modes.piggyback:
                 offset = self.rng.uniform(0, GOSSIP_PERIOD_S)
-                self._at(offset, self._gossip, name)
+                self._schedule(offset, self._gossip, name)
         for name in self.control:
             self._confirm_period(name)
 
     # Time
 
-    def _at(self, delay, call, *arguments):
+    def _schedule(self, delay, call, *arguments):
         item = (self.now + delay, next(self._order), call, arguments)
         heapq.heappush(self._queue, item)
 
     def run(self, seconds):
-        """Let time pass."""
+        """Let virtual time pass."""
         self.run_until(lambda: False, seconds)
 
     def run_until(self, done, seconds):
-        """Let time pass until `done()`; return the seconds, or None."""
+        """Let virtual time pass until `done()`, for `seconds` at most.
+
+        Returns:
+            The seconds that passed, None if it was not done in time.
+        """
         began, until = self.now, self.now + seconds
         while not done():
             if not self._queue or self._queue[0][0] > until:
@@ -120,7 +125,7 @@
         self.sent_count[kind] += 1
         if (sender, to) in self.cut or self.rng.random() < self.loss:
             return
-        self._at(self.rng.uniform(*self.delay), call, *arguments)
+        self._schedule(self.rng.uniform(*self.delay), call, *arguments)
 
     def isolate(self, name):
         """Cut `name` off from all others, both ways."""
@@ -130,12 +135,12 @@
 
     def cut_between(self, some, others):
         """Cut every pair of `some` and `others`, both ways."""
-        for one, other in itertools.product(some, others):
-            self.cut |= {(one, other), (other, one)}
+        for name, other in itertools.product(some, others):
+            self.cut |= {(name, other), (other, name)}
 
     # Control
 
-    def _majority(self, name):
+    def _has_majority(self, name):
         reached = [
             other
             for other in self.control
@@ -152,56 +157,56 @@
         for _ in range(count):
             revision = self.newest() + 1
             for name, control in self.control.items():
-                if self._majority(name):
-                    self._learn(control, revision)
+                if self._has_majority(name):
+                    self._publish(control, revision)
 
-    def _learn(self, control, revision):
-        for held in range(control.recent.revision + 1, revision + 1):
-            control.recent.add(held, value_of(held))
+    def _publish(self, control, newest):
+        for revision in range(control.recent.revision + 1, newest + 1):
+            control.recent.add(revision, value_of(revision))
         control.confirmed_at = self.now
-        waiting, control.waiting = control.waiting, []
-        for question in waiting:
-            self._answer(control, *question)
+        pending, control.pending = control.pending, []
+        for poll in pending:
+            self._answer(control, *poll)
 
     def _confirm_period(self, name):
         control = self.control[name]
-        if self._majority(name):
-            self._learn(control, self.newest())
-        self._at(CONFIRM_PERIOD_S, self._confirm_period, name)
+        if self._has_majority(name):
+            self._publish(control, self.newest())
+        self._schedule(CONFIRM_PERIOD_S, self._confirm_period, name)
 
-    def _serve(self, control, entry, life, ask):
-        strong = ask.strong and self._majority(control.name)
+    def _receive_poll(self, control, entry, core, effect):
+        strong = effect.strong and self._has_majority(control.name)
         if strong:
-            self._learn(control, self.newest())
-        question = (entry, life, ask, strong, self.now)
-        if control.recent.revision > ask.have or not ask.wait_s:
-            self._answer(control, *question)
+            self._publish(control, self.newest())
+        poll = (entry, core, effect, strong, self.now)
+        if control.recent.revision > effect.have or not effect.wait_s:
+            self._answer(control, *poll)
             return
-        control.waiting.append(question)
-        self._at(ask.wait_s, self._let_go, control, question)
+        control.pending.append(poll)
+        self._schedule(effect.wait_s, self._end_wait, control, poll)
 
-    def _let_go(self, control, question):
-        if question in control.waiting:
-            control.waiting.remove(question)
-            self._answer(control, *question)
+    def _end_wait(self, control, poll):
+        if poll in control.pending:
+            control.pending.remove(poll)
+            self._answer(control, *poll)
 
-    def _answer(self, control, entry, life, ask, strong, asked_at):
-        update = control.recent.update_since(ask.have, ask.digest)
+    def _answer(self, control, entry, core, effect, strong, received_at):
+        update = control.recent.update_since(effect.have, effect.digest)
         age = self.now - control.confirmed_at
-        waited = self.now - asked_at
+        waited = self.now - received_at
         if self.push_lost and waited > 0 and update.payload:
             return
         answered = messages.PollAnswered(
-            ask.poll_id, update, strong, age, waited
+            effect.poll_id, update, strong, age, waited
         )
         size = FRAME_BYTES + len(msgspec.msgpack.encode(answered))
-        arguments = (entry, life, answered)
+        arguments = (entry, core, answered)
         self._send("answer", control.name, entry, size, self._feed, *arguments)
 
     # Entries
 
     def boot(self, name):
-        """Start an entry that holds nothing."""
+        """Start an entry without a revision."""
         core = follower.Follower(
             list(self.control),
             random.Random(self.rng.random()),
@@ -216,72 +221,79 @@
         self.entries[name].running = False
 
     def thaw(self, name):
-        """Let a stopped process go on."""
+        """Let a stopped process continue."""
         self.entries[name].running = True
         self._feed(name, self.entries[name].core, messages.Tick())
 
-    def _feed(self, name, life, event):
+    def _feed(self, name, core, event):
+        """Let an entry handle an event, unless it has restarted since.
+
+        Args:
+            name: Name of the entry.
+            core: Its follower when the event was caused.
+            event: The event.
+        """
         entry = self.entries[name]
-        if entry.core is not life:
+        if entry.core is not core:
             return
         if not entry.running:
-            # The kernel keeps what comes until the process goes on.
-            self._at(0.5, self._feed, name, life, event)
+            # The kernel buffers what arrives until the process continues.
+            self._schedule(0.5, self._feed, name, core, event)
             return
         for effect in entry.core.handle(event, self.now):
-            self._carry(entry, effect)
-        self._wake(entry)
+            self._execute(entry, effect)
+        self._schedule_tick(entry)
 
-    def _wake(self, entry):
+    def _schedule_tick(self, entry):
         due = entry.core.next_deadline()
-        if due != entry.woken_for:
-            entry.woken_for = due
+        if due != entry.tick_due:
+            entry.tick_due = due
             delay = max(0.0, due - self.now)
-            self._at(delay, self._tick, entry.name, entry.core, due)
+            self._schedule(delay, self._tick, entry.name, entry.core, due)
 
-    def _tick(self, name, life, due):
-        if self.entries[name].woken_for == due:
-            self.entries[name].woken_for = None
-            self._feed(name, life, messages.Tick())
+    def _tick(self, name, core, due):
+        if self.entries[name].tick_due == due:
+            self.entries[name].tick_due = None
+            self._feed(name, core, messages.Tick())
 
-    def _carry(self, entry, effect):
+    def _execute(self, entry, effect):
         match effect:
             case messages.SendPoll():
-                self._ask(entry, effect)
+                self._send_poll(entry, effect)
             case messages.Install():
                 entry.installed.append((effect.revision, self.now))
                 entry.recent.add(effect.revision, effect.value)
             case messages.Report():
                 entry.reports.append(effect)
 
-    def _ask(self, entry, ask):
-        size = FRAME_BYTES + len(msgspec.msgpack.encode(ask))
-        arguments = (entry.name, entry.core, ask)
-        if ask.source in self.control:
-            source = self.control[ask.source]
-            call = self._serve
+    def _send_poll(self, entry, effect):
+        size = FRAME_BYTES + len(msgspec.msgpack.encode(effect))
+        arguments = (entry.name, entry.core, effect)
+        if effect.source in self.control:
+            source = self.control[effect.source]
+            call = self._receive_poll
         else:
-            source = self.entries[ask.source]
-            call = self._serve_peer
+            source = self.entries[effect.source]
+            call = self._receive_poll_at_peer
         self._send(
-            "ask", entry.name, ask.source, size, call, source, *arguments
+            "ask", entry.name, effect.source, size, call, source, *arguments
         )
 
-    def _serve_peer(self, peer, entry, life, ask):
+    def _receive_poll_at_peer(self, peer, entry, core, effect):
         if not peer.running:
             return
-        update = peer.recent.update_since(ask.have, ask.digest)
+        update = peer.recent.update_since(effect.have, effect.digest)
         age = peer.core.age_s(self.now)
-        answered = messages.PollAnswered(ask.poll_id, update, False, age)
+        answered = messages.PollAnswered(effect.poll_id, update, False, age)
         size = FRAME_BYTES + len(msgspec.msgpack.encode(answered))
-        arguments = (entry, life, answered)
+        arguments = (entry, core, answered)
         self._send("answer", peer.name, entry, size, self._feed, *arguments)
 
     # Gossip
 
     def _gossip(self, name):
-        spread = self.rng.uniform(0.9, 1.1)
-        self._at(GOSSIP_PERIOD_S * spread, self._gossip, name)
+        jitter = self.rng.uniform(0.9, 1.1)
+        self._schedule(GOSSIP_PERIOD_S * jitter, self._gossip, name)
         if name in self.entries and not self.entries[name].running:
             return
         member = self.entries.get(name) or self.control[name]
@@ -289,13 +301,13 @@
         if self.fanout is not None:
             others = self.rng.sample(others, min(self.fanout, len(others)))
         for other in others:
-            # The revision itself; the datagram is sent in any case.
+            # Counts the revision alone: gossip sends the datagram anyway.
             revision = member.recent.revision
-            heard = messages.RevisionReported(name, revision)
-            arguments = (other, self.entries[other].core, heard)
+            report = messages.RevisionReported(name, revision)
+            arguments = (other, self.entries[other].core, report)
             self._send("gossip", name, other, 5, self._feed, *arguments)
 
-    # What a test asks
+    # Queries of the tests
 
     def in_force(self, name):
         """Return the revision that an entry has in force."""
