--- a/tests/core/distribution/follower.feature
+++ b/tests/core/distribution/follower.feature
@@ -61,7 +61,7 @@
   Scenario: an entry restarts after 500 changes
     Given a distribution network of 2 entries that loses 0 %
     And distribution by push, pull and piggyback
-    When a distribution entry misses 500 changes frozen, and another restarts
+    When a frozen distribution entry misses 500 changes, and another restarts
     Then both distribution entries took one step to the newest revision
 
   Scenario: control is cut off from a region for long, then reachable again
--- a/tests/steps/core/distribution/follower_steps.py
+++ b/tests/steps/core/distribution/follower_steps.py
@@ -117,7 +117,7 @@
     assert took is not None, net.in_force("entry-1")
 
 
-@when("a distribution entry misses 500 changes frozen, and another restarts")
+@when("a frozen distribution entry misses 500 changes, and another restarts")
 def _(context):
     context.net.freeze("entry-1")
     for _ in range(50):
