--- a/bench/local_choice.py
+++ b/bench/local_choice.py
@@ -6,7 +6,7 @@
 
 from hyssopfold.core.balancing import local
 from hyssopfold.core.balancing import messages
-from hyssopfold.core.balancing import sightings
+from hyssopfold.core.balancing import server_stats
 from hyssopfold.core.membership import messages as membership
 from hyssopfold.transport import datagram_wire
 
@@ -36,8 +36,10 @@
         )  # fmt: skip
         grant = chooser.choose(req, view)
         assert isinstance(grant, messages.Grant)
-        done = messages.Done("answered", 0.1, load=messages.Load(1, 0, 3))
-        chooser.done(grant.server.server_id, done, 3.0, number / 100)
+        done = messages.AttemptResult(
+            "answered", 0.1, load=messages.Load(1, 0, 3)
+        )
+        chooser.record_done(grant.server.server_id, done, 3.0, number / 100)
 
     for number in range(_OBJECTS):
         choose(number)
@@ -50,17 +52,18 @@
 def word_cost(servers: int, rounds: int) -> tuple[int, float]:
     """Return bytes of a word on silent servers, and its cost at both ends, us."""
     keys = tuple(
-        sightings.life_key(f"s{number}", 1) for number in range(servers)
+        server_stats.incarnation_key(f"s{number}", 1)
+        for number in range(servers)
     )
     chooser = local.Chooser("entry-0", "dar")
     began = time.process_time()
     data = b""
     for _ in range(rounds):
-        message = messages.Silent(keys)
+        message = messages.SilentServers(keys)
         data = datagram_wire.encode_message("entry-1", message)
         parcel = datagram_wire.decode(data)
         assert isinstance(parcel, datagram_wire.Parcel)
-        chooser.hear("entry-1", keys, 0.0)
+        chooser.record_silent("entry-1", keys, 0.0)
     return len(data), (time.process_time() - began) / rounds * 1e6
 
 
--- a/bench/placement_failover.py
+++ b/bench/placement_failover.py
@@ -22,7 +22,7 @@
 AFTER_S = 8.0
 RESTART_S = 5.0
 CASES = ("leaves", "killed", "frozen", "killed, control cut off")
-KEY = messages.Key("ledger", "dar")
+KEY = messages.PoolRegion("ledger", "dar")
 
 
 class Outcome(NamedTuple):
@@ -58,7 +58,7 @@
         arrivals = int(count) + (self.rng.random() < count % 1)
         for _ in range(arrivals):
             name = self.rng.choice(live)
-            self.waiting.append((name, world.ask(name)))
+            self.waiting.append((name, world.request_slot(name)))
         world.run(STEP_S)
         self._collect(live)
 
@@ -106,7 +106,7 @@
     load.run(RESTART_S)
     restarted = world.now
     withheld = [
-        world.entries[name].node.granting(KEY).ledger.withheld()
+        world.entries[name].node.own_grantor(KEY).ledger.withheld()
         for name in world.grantors()
         if name != old
     ]
--- a/hyssopfold/control/slot_votes.py
+++ b/hyssopfold/control/slot_votes.py
@@ -12,10 +12,10 @@
 
 RECORD = "slot-votes"
 
-_Record = list[tuple[messages.Key, voter.Promise]]
+_Record = list[tuple[messages.PoolRegion, voter.VoteState]]
 
 
-def load(data: folder.DataFolder) -> dict[messages.Key, voter.Promise]:
+def load(data: folder.DataFolder) -> dict[messages.PoolRegion, voter.VoteState]:
     """Return the promises that the data folder holds.
 
     Raises:
@@ -52,7 +52,7 @@
     async def run(self) -> None:
         """Take in claims until cancelled."""
         votes = voter.Voter(
-            self._me, trio.current_time(), promises=load(self._data)
+            self._me, trio.current_time(), states=load(self._data)
         )
         parcel: datagram_wire.Parcel
         async for parcel in self._spread.parcels:
--- a/hyssopfold/core/attempts/quarantine.py
+++ b/hyssopfold/core/attempts/quarantine.py
@@ -1,10 +1,10 @@
-"""Requests under which servers crashed, and which of them run no more.
+"""Quarantine of requests that crash the servers that run them.
 
-A request is known by its fingerprint, a server by a number for one life of it.
-What entries see of one request adds up to two growing sets: lives that ended
-while they may have run it, and those of them that say nothing about it, since
-the same request was answered elsewhere. So reports may come late, twice and in
-any order.
+A request is identified by its fingerprint, a server incarnation by its key (see
+`server_stats.incarnation_key`). For each request the instances merge two sets
+that only grow: the incarnations that crashed while they may have run it, and
+those of them that don't count since the same request was also answered.
+Reports may therefore arrive late, twice and in any order.
 """
 
 from collections.abc import Collection
@@ -15,38 +15,41 @@
 
 from hyssopfold.core.balancing import affinity
 
-# Servers that a request may crash before it is held back.
-LIMIT = 3
-# Crashes from which on all instances are told; most requests that a crash
-# interrupts are seen in one only.
-SHARED_FROM = 2
-# Instances that count the crashes of one request until then.
-HOLDERS = 3
-# How long a request is remembered after its last crash: one that is held
-# back, and one that may have been interrupted by chance.
-KEEP_S = 86_400.0
-KEEP_SUSPECT_S = 600.0
-# A request that is held back runs once more after so long, since servers may
-# have been mended, and a last time after the second.
+# Crashes after which a request is quarantined.
+CRASH_LIMIT = 3
+# Crashes after which a request is reported to all instances; most requests that
+# a crash interrupts are interrupted by only one.
+SHARE_AFTER_CRASHES = 2
+# Instances that count the crashes of one request before that.
+COUNTING_INSTANCES = 3
+# Seconds for which a record is kept after the last crash: that of a quarantined
+# request, and that of one which may have been interrupted by chance.
+QUARANTINE_TTL_S = 86_400.0
+SUSPECT_TTL_S = 600.0
+# Seconds after the last crash at which a quarantined request is tried again:
+# the servers may have been repaired. After the second trial there is no other.
 TRIALS_AFTER_S = (60.0, 600.0)
-# A trial that brought neither an answer nor a crash may be repeated then.
-TRIAL_S = 30.0
-# A request that was answered so lately did not crash a server since.
-SOUND_S = 10.0
-MAX_SOUND = 4_096
-# Crashes, each followed by an answer, after which more prove nothing.
+# Seconds after which a trial without an answer or a crash may be repeated.
+TRIAL_TIMEOUT_S = 30.0
+# Seconds after an answer within which a crash is not attributed to the request.
+RECENT_ANSWER_S = 10.0
+MAX_RECENT_ANSWERS = 4_096
+# Crashes disproved by answers, after which further ones are not recorded.
 MAX_CLEARED = 8
 MAX_RECORDS = 2_000
 NO_DIGEST = -1
-# The first bytes of a fingerprint are those of the request's head alone.
+# The first bytes of a fingerprint, which depend on the request's head alone.
 HEAD_BYTES = 8
 
 
 class Report(NamedTuple):
-    """What is known of one request.
+    """The crashes recorded for one request, as sent to other instances.
 
-    `crashed` are the lives of servers that ended under it, `cleared` those of
-    them that do not count; `age_s` is the time since the last crash.
+    Attributes:
+        fingerprint: The request.
+        crashed: Keys of the server incarnations that crashed under it.
+        cleared: Those of them that don't count.
+        age_s: Seconds since the last crash.
     """
 
     fingerprint: bytes
@@ -55,16 +58,17 @@
     age_s: float
 
 
-class Told(NamedTuple):
-    """Message: reports, and a hash of all that the sender knows.
+class QuarantineUpdate(NamedTuple):
+    """Message: reports, and a digest of the sender's shared records.
 
-    A receiver with another hash answers with what it knows if `asks`; without
-    it, it tells what the sender may lack and expects nothing.
+    A receiver with another digest answers with its own reports. With
+    `expects_reply` the answer contains the receiver's digest, so that the
+    sender answers with its reports in turn.
     """
 
     reports: tuple[Report, ...]
     digest: int = NO_DIGEST
-    asks: bool = False
+    expects_reply: bool = False
 
 
 class _Record(NamedTuple):
@@ -75,26 +79,31 @@
     trial_until: float = -math.inf
 
     @property
-    def counted(self) -> int:
-        """Return the crashes that count."""
+    def counted_crashes(self) -> int:
+        """Return the number of crashes that count."""
         return len(self.crashed - self.cleared)
 
 
-_NONE = _Record(frozenset(), frozenset(), -math.inf)
+_EMPTY_RECORD = _Record(frozenset(), frozenset(), -math.inf)
 
 
 class Quarantine:
-    """Keep what is known of requests under which servers crashed.
+    """The crash records of requests, as known to one instance.
+
+    Instances exchange its reports; entries ask it whether a request may run.
 
     Args:
         name: Name of this instance.
+
+    Attributes:
+        digest: Hash of the shared records, equal at instances that agree.
     """
 
     def __init__(self, name: str) -> None:
         self._name = name
         self._records: dict[bytes, _Record] = {}
-        # Requests that were answered here lately, oldest first.
-        self._sound: dict[bytes, float] = {}
+        # Times at which requests were answered at this entry, oldest first.
+        self._answered_at: dict[bytes, float] = {}
         self._heads: dict[bytes, int] = {}
         self.digest = 0
 
@@ -102,35 +111,56 @@
         return len(self._records)
 
     @property
-    def held(self) -> int:
-        """Return how many requests are held back."""
-        return sum(one.counted >= LIMIT for one in self._records.values())
+    def quarantined(self) -> int:
+        """Return the number of quarantined requests."""
+        return sum(
+            record.counted_crashes >= CRASH_LIMIT
+            for record in self._records.values()
+        )
 
     def crashes(self, fingerprint: bytes) -> int:
-        """Return how many servers crashed under a request."""
-        return self._records.get(fingerprint, _NONE).counted
+        """Return the number of crashes that count for a request."""
+        return self._records.get(fingerprint, _EMPTY_RECORD).counted_crashes
 
     def is_shared(self, fingerprint: bytes) -> bool:
-        """Return whether all instances are to know of a request."""
-        record = self._records.get(fingerprint, _NONE)
-        return len(record.crashed) >= SHARED_FROM
+        """Return whether a request is reported to all instances."""
+        record = self._records.get(fingerprint, _EMPTY_RECORD)
+        return len(record.crashed) >= SHARE_AFTER_CRASHES
 
-    def knows(self, head: bytes) -> bool:
-        """Return whether a request with this head may be held back.
+    def has_head(self, head: bytes) -> bool:
+        """Return whether a request with this head may be quarantined.
 
         Args:
             head: The first part of its fingerprint.
         """
         return head in self._heads
 
-    def crashed(self, fingerprint: bytes, life: int, now: float) -> bool:
-        """Take in that a server crashed here; return whether that is news."""
-        record = self._records.get(fingerprint, _NONE)
-        if life in record.crashed or len(record.cleared) >= MAX_CLEARED:
+    def record_crash(
+        self, fingerprint: bytes, incarnation_key: int, now: float
+    ) -> bool:
+        """Record that a server crashed under a request of this entry.
+
+        Args:
+            fingerprint: The request.
+            incarnation_key: Key of the server incarnation.
+            now: Monotonic time in seconds.
+
+        Returns:
+            Whether the record changed.
+        """
+        record = self._records.get(fingerprint, _EMPTY_RECORD)
+        if (
+            incarnation_key in record.crashed
+            or len(record.cleared) >= MAX_CLEARED
+        ):
             return False
-        crashed = record.crashed | {life}
-        cleared = crashed if self._is_sound(fingerprint, now) else frozenset()
-        return self._put(
+        crashed = record.crashed | {incarnation_key}
+        cleared = (
+            crashed
+            if self._is_answered_lately(fingerprint, now)
+            else frozenset()
+        )
+        return self._store(
             fingerprint,
             record._replace(
                 crashed=crashed,
@@ -139,22 +169,25 @@
             ),
         )
 
-    def answered(self, fingerprint: bytes, now: float) -> bool:
-        """Take in that a request was answered; return whether that is news."""
-        self._sound.pop(fingerprint, None)
-        self._sound[fingerprint] = now
-        if len(self._sound) > MAX_SOUND:
-            del self._sound[next(iter(self._sound))]
+    def record_answer(self, fingerprint: bytes, now: float) -> bool:
+        """Record an answer; return whether the request's record changed."""
+        self._answered_at.pop(fingerprint, None)
+        self._answered_at[fingerprint] = now
+        if len(self._answered_at) > MAX_RECENT_ANSWERS:
+            del self._answered_at[next(iter(self._answered_at))]
         return self._clear(fingerprint)
 
-    def _is_sound(self, fingerprint: bytes, now: float) -> bool:
-        return now - self._sound.get(fingerprint, -math.inf) < SOUND_S
+    def _is_answered_lately(self, fingerprint: bytes, now: float) -> bool:
+        return (
+            now - self._answered_at.get(fingerprint, -math.inf)
+            < RECENT_ANSWER_S
+        )
 
     def _clear(self, fingerprint: bytes) -> bool:
         record = self._records.get(fingerprint)
-        if record is None or not record.counted:
+        if record is None or not record.counted_crashes:
             return False
-        return self._put(fingerprint, record._replace(cleared=record.crashed))
+        return self._store(fingerprint, record._replace(cleared=record.crashed))
 
     def may_run(
         self,
@@ -165,18 +198,18 @@
     ) -> bool:
         """Return whether a request may be sent to a server now.
 
-        One that is held back is tried again by one entry, and by no other.
+        Only one entry makes the trials of a quarantined request.
 
         Args:
             fingerprint: The request.
-            attempt: Names the attempt; asked again, a trial gets the same
-                answer.
+            attempt: Identifies the attempt; a repeated call for a trial
+                returns the same result.
             entries: Names of the entries that serve callers.
             now: Monotonic time in seconds.
         """
-        record = self._records.get(fingerprint, _NONE)
-        trials = record.counted - LIMIT
-        if trials < 0 or now >= record.last_at + KEEP_S:
+        record = self._records.get(fingerprint, _EMPTY_RECORD)
+        trials = record.counted_crashes - CRASH_LIMIT
+        if trials < 0 or now >= record.last_at + QUARANTINE_TTL_S:
             return True
         if trials >= len(TRIALS_AFTER_S):
             return False
@@ -185,23 +218,27 @@
         if now < record.trial_until:
             return attempt == record.trial
         names = {*entries, self._name}
-        if affinity.alike(fingerprint.hex(), names)[0] != self._name:
+        if affinity.rank_unweighted(fingerprint.hex(), names)[0] != self._name:
             return False
-        tried = record._replace(trial=attempt, trial_until=now + TRIAL_S)
-        self._records[fingerprint] = tried
+        started = record._replace(
+            trial=attempt, trial_until=now + TRIAL_TIMEOUT_S
+        )
+        self._records[fingerprint] = started
         return True
 
     def merge(self, reports: Iterable[Report], now: float) -> tuple[bytes, ...]:
-        """Take in what another instance knows; return what was news."""
+        """Merge another instance's reports; return the changed requests."""
         return tuple(
-            one.fingerprint for one in reports if self._merge_one(one, now)
+            report.fingerprint
+            for report in reports
+            if self._merge_report(report, now)
         )
 
-    def _merge_one(self, report: Report, now: float) -> bool:
-        record = self._records.get(report.fingerprint, _NONE)
+    def _merge_report(self, report: Report, now: float) -> bool:
+        record = self._records.get(report.fingerprint, _EMPTY_RECORD)
         crashed = record.crashed | frozenset(report.crashed)
         cleared = record.cleared | frozenset(report.cleared)
-        if crashed != record.crashed and self._is_sound(
+        if crashed != record.crashed and self._is_answered_lately(
             report.fingerprint, now
         ):
             cleared = crashed
@@ -213,13 +250,13 @@
         merged = record._replace(
             crashed=crashed, cleared=cleared, last_at=last_at
         )
-        if now >= last_at + _keep_s(merged):
+        if now >= last_at + _ttl_s(merged):
             return False
-        return self._put(report.fingerprint, merged)
+        return self._store(report.fingerprint, merged)
 
-    def _put(self, fingerprint: bytes, record: _Record) -> bool:
+    def _store(self, fingerprint: bytes, record: _Record) -> bool:
         if fingerprint not in self._records:
-            self._make_room()
+            self._evict()
         self._drop(fingerprint)
         self._records[fingerprint] = record
         head = fingerprint[:HEAD_BYTES]
@@ -227,18 +264,18 @@
         self.digest ^= _hash(fingerprint, record)
         return True
 
-    def _make_room(self) -> None:
-        """Forget the least suspect, oldest record when there are too many."""
+    def _evict(self) -> None:
+        """Drop a record if there are too many: the oldest suspect first."""
         if len(self._records) < MAX_RECORDS:
             return
-        least = min(
+        evicted = min(
             self._records,
-            key=lambda one: (
-                self._records[one].counted >= LIMIT,
-                self._records[one].last_at,
+            key=lambda fingerprint: (
+                self._records[fingerprint].counted_crashes >= CRASH_LIMIT,
+                self._records[fingerprint].last_at,
             ),
         )
-        self._drop(least)
+        self._drop(evicted)
 
     def _drop(self, fingerprint: bytes) -> None:
         record = self._records.pop(fingerprint, None)
@@ -251,19 +288,19 @@
             del self._heads[head]
 
     def expire(self, now: float) -> bool:
-        """Forget requests whose last crash is long ago; return whether any."""
-        ended = [
+        """Drop the expired records; return whether there were any."""
+        expired = [
             fingerprint
             for fingerprint, record in self._records.items()
-            if now >= record.last_at + _keep_s(record)
+            if now >= record.last_at + _ttl_s(record)
         ]
-        for fingerprint in ended:
+        for fingerprint in expired:
             self._drop(fingerprint)
-        return bool(ended)
+        return bool(expired)
 
     def report(self, fingerprint: bytes, now: float) -> Report:
-        """Return what is known of one request."""
-        record = self._records.get(fingerprint, _NONE)
+        """Return the report of one request."""
+        record = self._records.get(fingerprint, _EMPTY_RECORD)
         return Report(
             fingerprint,
             tuple(sorted(record.crashed)),
@@ -272,7 +309,7 @@
         )
 
     def shared(self, now: float) -> list[Report]:
-        """Return what all instances are to know."""
+        """Return the reports that all instances shall have."""
         return [
             self.report(fingerprint, now)
             for fingerprint in self._records
@@ -280,13 +317,17 @@
         ]
 
 
-def _keep_s(record: _Record) -> float:
-    return KEEP_S if record.counted >= LIMIT else KEEP_SUSPECT_S
+def _ttl_s(record: _Record) -> float:
+    return (
+        QUARANTINE_TTL_S
+        if record.counted_crashes >= CRASH_LIMIT
+        else SUSPECT_TTL_S
+    )
 
 
 def _hash(fingerprint: bytes, record: _Record) -> int:
-    """Return a hash of what is shared of a record, 0 for one that is not."""
-    if len(record.crashed) < SHARED_FROM:
+    """Return a hash of a shared record, 0 for one that is not shared."""
+    if len(record.crashed) < SHARE_AFTER_CRASHES:
         return 0
     sets = (sorted(record.crashed), sorted(record.cleared))
     return zlib.crc32(f"{fingerprint.hex()} {sets}".encode())
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -123,7 +123,7 @@
                 await self._end_attempt("failed")
             case events.Refuse():
                 await self._refuse(effect)
-            case events.CutCaller():
+            case events.ResetCaller():
                 self._exchange.outcome = "cut"
                 raise serving.CutAnswerError(effect.reason)
             case events.Finish():
@@ -150,7 +150,7 @@
             return events.NoSlot(answer.reason, answer.retry_after_s)
         if self._is_held(effect):
             # Since it began to wait for a slot.
-            unused = messages.Done("cancelled", 0.0, reached=False)
+            unused = messages.AttemptResult("cancelled", 0.0, connected=False)
             parts.placement.release(answer, unused)
             return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
         if not effect.tried:
@@ -227,16 +227,16 @@
                 await self._read_short(server)
         except upstream.LostError as exc:
             self._is_broken = True
-            return events.Lost(str(exc))
+            return events.AttemptFailed(str(exc))
         except exchange_module.BodyTooLargeError:
-            return events.Lost("body too large")
+            return events.AttemptFailed("body too large")
         if self._answering is None or self._answer_by.cancelled_caught:
-            return events.Lost("no answer in time")
+            return events.AttemptFailed("no answer in time")
         return answers.began(exchange, self._answering.answer)
 
     async def _read_short(self, server: membership.Server) -> None:
         assert self._answering is not None
-        if not self._request.is_absolute:
+        if not self._request.is_total_limit:
             # It has begun: from here on only a stall ends it.
             self._answer_by.deadline = math.inf
         self._relay = relaying.Relay(
@@ -260,7 +260,7 @@
 
     def _note(self, event: events.Event) -> None:
         for effect in self._tell(event):
-            if isinstance(effect, events.AnswerBy):
+            if isinstance(effect, events.SetAnswerDeadline):
                 self._answer_by.deadline = effect.deadline
 
     def _pacer(self, server: membership.Server) -> relaying.Pace:
@@ -281,7 +281,7 @@
             await self._relay.run(free)
         except upstream.LostError as exc:
             self._is_broken = True
-            return events.Lost(str(exc))
+            return events.AttemptFailed(str(exc))
         return events.AnswerEnded()
 
     async def _end_attempt(self, kind: str) -> None:
@@ -294,7 +294,7 @@
         answering, self._answering = self._answering, None
         done = self._done(kind, answering)
         self._parts.placement.release(grant, done)
-        if done.good:
+        if done.healthy:
             self._parts.quarantine.answered(self._exchange.fingerprint)
         self._log_attempt(grant, done, answering)
         if kind == "failed":
@@ -319,15 +319,15 @@
 
     def _done(
         self, kind: str, answering: upstream.Answering | None
-    ) -> messages.Done:
+    ) -> messages.AttemptResult:
         took = trio.current_time() - self._granted_at
         if answering is None:
             reached = self._machine.last_sent is not events.Sent.NOT_SENT
-            return messages.Done(kind, took, reached, False)
+            return messages.AttemptResult(kind, took, reached, False)
         answer = answering.answer
         headers = {key.lower(): value for key, value in answer.headers}
         good = kind == "answered" and answer.status < SERVER_FAILURE
-        return messages.Done(
+        return messages.AttemptResult(
             kind,
             took,
             True,
@@ -369,7 +369,7 @@
             server=server.server_id,
             region=server.region,
             reason=grant.reason,
-            load=round(grant.known_load, 2),
+            load=round(grant.estimated_load, 2),
             load_age_s=answers.shown_age(grant.load_age_s),
             expected_s=round(grant.expected_s, 4),
             lease_left_s=round(lease_s, 3),
@@ -382,12 +382,12 @@
     def _log_attempt(
         self,
         grant: messages.Grant,
-        done: messages.Done,
+        done: messages.AttemptResult,
         answering: upstream.Answering | None,
     ) -> None:
         status = answering.answer.status if answering is not None else 0
         self._parts.meter.attempts.observe(
-            {"pool": self._pool.name, "result": done.kind}, done.seconds
+            {"pool": self._pool.name, "result": done.kind}, done.duration_s
         )
         self._exchange.log.add(
             logger,
@@ -396,6 +396,6 @@
             result=done.kind,
             status=status,
             sent=self._machine.last_sent.value,
-            detail="" if done.good else self._machine.last_reason,
-            took_s=round(done.seconds, 4),
+            detail="" if done.healthy else self._machine.last_reason,
+            took_s=round(done.duration_s, 4),
         )
--- a/hyssopfold/entry/carrier_parts.py
+++ b/hyssopfold/entry/carrier_parts.py
@@ -25,7 +25,9 @@
     ) -> messages.Grant | messages.Refused:
         """Return a slot, or why there is none."""
 
-    def release(self, grant: messages.Grant, done: messages.Done) -> None:
+    def release(
+        self, grant: messages.Grant, done: messages.AttemptResult
+    ) -> None:
         """Give a slot back, with how the attempt ended."""
 
     def in_flight(self) -> dict[str, int]:
@@ -59,6 +61,6 @@
     upstream: upstream.Upstream
     quarantine: Quarantine
     meter: metrics.Metrics
-    budget_of: Callable[[str], budget.Budget]
+    budget_of: Callable[[str], budget.RetryBudget]
     refuse: Callable[[exchange_module.Exchange, http.Refusal], Awaitable[None]]
     expects_silence: bool = True
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -10,11 +10,11 @@
 
 from hyssopfold import logs
 from hyssopfold import tables
-from hyssopfold.core.balancing import accusations
 from hyssopfold.core.balancing import load_reports
 from hyssopfold.core.balancing import local
 from hyssopfold.core.balancing import messages
 from hyssopfold.core.balancing import reopened
+from hyssopfold.core.balancing import silence_reports
 from hyssopfold.core.membership import messages as membership
 from hyssopfold.transport import datagram_wire
 from hyssopfold.transport import gossip
@@ -56,7 +56,7 @@
         self._directory = spread.directory
         self._rng = rng
         self._evacuated = evacuated
-        self._reopened = reopened.Reopened(spread.directory)
+        self._reopened = reopened.ReopenedDomains(spread.directory)
         self._warm_up_s: dict[str, float] = {}
         # Names of the entries that serve callers, made once a change.
         self._entries: tuple[membership.Instance, ...] = ()
@@ -84,7 +84,7 @@
 
     def _note_reopened(self, now: float) -> None:
         """Notice a change before the first request that it concerns is placed."""
-        for domain in self._reopened.note(self._evacuated(), now):
+        for domain in self._reopened.update(self._evacuated(), now):
             logger.info(logs.Event("domain-reopened", domain=domain))
 
     def _entry_names(self) -> tuple[str, ...]:
@@ -105,12 +105,14 @@
         ]
         return load_reports.neighbours(me.name, near, TOLD_EACH_SIDE)
 
-    def release(self, grant: messages.Grant, done: messages.Done) -> None:
+    def release(
+        self, grant: messages.Grant, done: messages.AttemptResult
+    ) -> None:
         """Take in how an attempt ended."""
         warm_up_s = self._warm_up_s.get(grant.server.pool, 0.0)
         now = trio.current_time()
         self._chooser.learn(grant, done, now)
-        self._chooser.done(grant.server.server_id, done, warm_up_s, now)
+        self._chooser.record_done(grant.server.server_id, done, warm_up_s, now)
         if self._chooser.has_busy:
             self._is_busy.set()
 
@@ -137,13 +139,13 @@
         while True:
             await trio.sleep(_TIDY_S)
             words = self._directory.servers.records()
-            self._chooser.forget({one.server_id for one in words})
+            self._chooser.prune({one.server_id for one in words})
 
     async def _tell(self) -> None:
         """Tell the entries of this region: they use the same servers most."""
         while True:
             await trio.sleep(TELL_S)
-            silent = self._chooser.silent(trio.current_time())
+            silent = self._chooser.silent_keys(trio.current_time())
             if not silent:
                 continue
             me = self._spread.myself
@@ -153,7 +155,9 @@
                 if one.region == me.region and one.name != me.name
             ]
             told = self._rng.sample(near, min(MAX_TOLD, len(near)))
-            self._spread.post_all(told, messages.Silent(silent[:MAX_NAMED]))
+            self._spread.post_all(
+                told, messages.SilentServers(silent[:MAX_NAMED])
+            )
 
     async def _tell_busy(self) -> None:
         """Tell a few near entries of servers at which requests wait."""
@@ -162,16 +166,16 @@
             await trio.sleep(BUSY_BATCH_S)
             self._is_busy = trio.Event()
             loads = self._chooser.take_busy()[:MAX_NAMED]
-            self._spread.post_all(self._neighbours, messages.Busy(loads))
+            self._spread.post_all(self._neighbours, messages.BusyServers(loads))
 
     async def _hear(self) -> None:
         parcel: datagram_wire.Parcel
         async for parcel in self._spread.parcels:
             match parcel.message:
-                case messages.Silent(keys):
+                case messages.SilentServers(keys):
                     self._hear_silent(parcel.sender, keys)
-                case messages.Busy(loads):
-                    self._chooser.hear_loads(loads, trio.current_time())
+                case messages.BusyServers(loads):
+                    self._chooser.record_loads(loads, trio.current_time())
                 case _:
                     # Sent by an entry with another way of placing requests.
                     logger.warning(
@@ -179,13 +183,15 @@
                     )
 
     def _hear_silent(self, sender: str, keys: tuple[int, ...]) -> None:
-        for one in self._chooser.hear(sender, keys, trio.current_time()):
+        for one in self._chooser.record_silent(
+            sender, keys, trio.current_time()
+        ):
             logger.info(
                 logs.Event(
                     "server-silent",
                     server=one,
                     by=sender,
-                    others=accusations.ACCUSERS,
-                    held_s=accusations.ACCUSED_S,
+                    others=silence_reports.MIN_REPORTERS,
+                    held_s=silence_reports.REPORT_VALID_S,
                 )
             )
--- a/hyssopfold/entry/placement.py
+++ b/hyssopfold/entry/placement.py
@@ -71,9 +71,11 @@
         except trio.WouldBlock:
             return
         if isinstance(answer, messages.Grant):
-            self.release(answer, messages.Done("cancelled", 0.0))
+            self.release(answer, messages.AttemptResult("cancelled", 0.0))
 
-    def release(self, grant: messages.Grant, done: messages.Done) -> None:
+    def release(
+        self, grant: messages.Grant, done: messages.AttemptResult
+    ) -> None:
         """Give a slot back, with how the attempt ended."""
         self._handle(node.Release(grant, done))
 
@@ -100,7 +102,7 @@
         parcel: datagram_wire.Parcel
         async for parcel in self._spread.parcels:
             # Comes on a channel of its own.
-            if not isinstance(parcel.message, quarantine.Told):
+            if not isinstance(parcel.message, quarantine.QuarantineUpdate):
                 self._handle(node.Received(parcel.sender, parcel.message))
 
     def _handle(self, event: node.Event) -> None:
@@ -119,7 +121,7 @@
         if waiting is not None:
             waiting.send_nowait(result)
         elif isinstance(result, messages.Grant):
-            self.release(result, messages.Done("cancelled", 0.0))
+            self.release(result, messages.AttemptResult("cancelled", 0.0))
 
 
 @functools.singledispatch
@@ -135,9 +137,9 @@
 
 @_carry.register
 def _(effect: messages.Answer, placement: Placement) -> None:
-    placement.answer(effect.number, effect.result)
+    placement.answer(effect.ticket, effect.result)
 
 
 @_carry.register
-def _(effect: messages.Decided, placement: Placement) -> None:
+def _(effect: messages.LogDecision, placement: Placement) -> None:
     logger.info(logs.Event(effect.event, **dict(effect.fields)))
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -86,7 +86,7 @@
         self.crashes = crash_reports.CrashReports(
             self.spread,
             self.rng,
-            lambda table: self.meter.quarantined.set({}, table.held),
+            lambda table: self.meter.quarantined.set({}, table.quarantined),
         )
         self.checks = crash_checks.CrashChecks(
             self.connected, self.crashes, self.meter
@@ -105,7 +105,7 @@
             lambda: self.spread.myself,
             self.known,
             rpc.Clients(self.shared.links),
-            core_claims.Table(),
+            core_claims.ClaimTable(),
         )
         self.parts = self._outside(adapters)
         self.apps = self._apps(adapters)
@@ -162,7 +162,7 @@
         most = server.connections
         if pool is not None:
             most = min(most, pool.connections)
-        return subset.share(most, server.slots, entries)
+        return subset.connections_per_entry(most, server.slots, entries)
 
     def _outside(
         self, adapters: entry_adapters.EntryAdapters
--- a/hyssopfold/transport/crash_reports.py
+++ b/hyssopfold/transport/crash_reports.py
@@ -11,7 +11,7 @@
 from hyssopfold import logs
 from hyssopfold.core.attempts import quarantine
 from hyssopfold.core.balancing import affinity
-from hyssopfold.core.balancing import sightings
+from hyssopfold.core.balancing import server_stats
 from hyssopfold.core.membership import messages
 from hyssopfold.transport import datagram_wire
 from hyssopfold.transport import gossip
@@ -66,14 +66,14 @@
         self._rng = rng
         self._on_change = on_change
         self._known = tuple(known)
-        self._parcels = spread.subscribe(quarantine.Told)
+        self._parcels = spread.subscribe(quarantine.QuarantineUpdate)
         self._news: dict[bytes, None] = {}
         # How often each request is to be reported again.
         self._repeats: dict[bytes, int] = {}
 
     def knows(self, head: bytes) -> bool:
         """Return whether a request with this head may be held back."""
-        return self.table.knows(head)
+        return self.table.has_head(head)
 
     def holds(self, fingerprint: bytes, attempt: str) -> bool:
         """Return whether an attempt must not be sent to any server now."""
@@ -84,15 +84,15 @@
 
     def crashed(self, server: messages.Server, fingerprint: bytes) -> None:
         """Take in that a server crashed under a request of this entry."""
-        life = sightings.life_key(server.server_id, server.incarnation)
+        key = server_stats.incarnation_key(server.server_id, server.incarnation)
         now = trio.current_time()
-        if self.table.crashed(fingerprint, life, now):
+        if self.table.record_crash(fingerprint, key, now):
             self._note([fingerprint])
             self._report(fingerprint)
 
     def answered(self, fingerprint: bytes) -> None:
         """Take in that a request of this entry was answered."""
-        if self.table.answered(fingerprint, trio.current_time()):
+        if self.table.record_answer(fingerprint, trio.current_time()):
             self._note([fingerprint])
             self._report(fingerprint)
 
@@ -102,11 +102,13 @@
 
     def _tell_holders(self, fingerprint: bytes) -> None:
         names = [one.name for one in self._spread.live_instances()]
-        holders = affinity.alike(fingerprint.hex(), names)
+        holders = affinity.rank_unweighted(fingerprint.hex(), names)
         report = self.table.report(fingerprint, trio.current_time())
         me = self._spread.myself.name
-        others = [one for one in holders[: quarantine.HOLDERS] if one != me]
-        self._spread.post_all(others, quarantine.Told((report,)))
+        others = [
+            one for one in holders[: quarantine.COUNTING_INSTANCES] if one != me
+        ]
+        self._spread.post_all(others, quarantine.QuarantineUpdate((report,)))
 
     def _note(self, fingerprints: Iterable[bytes]) -> None:
         """Take up what changed, if it concerns all instances."""
@@ -121,7 +123,7 @@
     def _log(self, fingerprint: bytes) -> None:
         count = self.table.crashes(fingerprint)
         event = "request-suspected" if count else "request-cleared"
-        if count >= quarantine.LIMIT:
+        if count >= quarantine.CRASH_LIMIT:
             event = "request-quarantined"
         logger.warning(
             logs.Event(event, fingerprint=fingerprint.hex(), crashed=count)
@@ -174,9 +176,11 @@
         if digest != quarantine.NO_DIGEST and not parts:
             parts = [()]
         for part in parts[:-1]:
-            self._spread.post_all(names, quarantine.Told(part))
+            self._spread.post_all(names, quarantine.QuarantineUpdate(part))
         for part in parts[-1:]:
-            self._spread.post_all(names, quarantine.Told(part, digest))
+            self._spread.post_all(
+                names, quarantine.QuarantineUpdate(part, digest)
+            )
 
     async def _compare(self) -> None:
         started = trio.current_time()
@@ -186,7 +190,9 @@
                 self._on_change(self.table)
             is_start = now - started < START_S
             count = START_COMPARED if is_start else COMPARED
-            asked = quarantine.Told((), self.table.digest, asks=True)
+            asked = quarantine.QuarantineUpdate(
+                (), self.table.digest, expects_reply=True
+            )
             self._spread.post_all(self._draw(count), asked)
             period_s = START_COMPARE_S if is_start else COMPARE_S
             await trio.sleep(period_s * self._rng.uniform(0.5, 1.0))
@@ -195,10 +201,10 @@
         parcel: datagram_wire.Parcel
         async for parcel in self._parcels:
             told = parcel.message
-            assert isinstance(told, quarantine.Told)
+            assert isinstance(told, quarantine.QuarantineUpdate)
             self._note(self.table.merge(told.reports, trio.current_time()))
             if told.digest not in (quarantine.NO_DIGEST, self.table.digest):
-                self._answer(parcel.sender, told.asks)
+                self._answer(parcel.sender, told.expects_reply)
 
     def _answer(self, name: str, asks: bool) -> None:
         """Tell an instance that knows otherwise what is known here."""
--- a/hyssopfold/transport/datagram_wire.py
+++ b/hyssopfold/transport/datagram_wire.py
@@ -25,19 +25,19 @@
     1: placement.Claim,
     2: placement.Vote,
     3: placement.Resign,
-    4: placement.Beat,
-    5: placement.Ask,
-    6: placement.Granted,
-    7: placement.Denied,
-    8: placement.Release,
-    9: placement.Sync,
-    10: placement.Silent,
-    11: placement.Busy,
-    12: quarantine.Told,
+    4: placement.GrantorHeartbeat,
+    5: placement.SlotRequest,
+    6: placement.SlotGranted,
+    7: placement.SlotDenied,
+    8: placement.SlotRelease,
+    9: placement.SlotSync,
+    10: placement.SilentServers,
+    11: placement.BusyServers,
+    12: quarantine.QuarantineUpdate,
 }
 _NUMBERS = {kind: number for number, kind in _KINDS.items()}
 
-Message = placement.Message | quarantine.Told
+Message = placement.Message | quarantine.QuarantineUpdate
 
 
 class Parcel(NamedTuple):
