--- a/hyssopfold/setting_fields.py
+++ b/hyssopfold/setting_fields.py
@@ -37,7 +37,7 @@
         documents.address,
         "",
         True,
-        "an IP number and port, IP:PORT",
+        "an IP address and port, IP:PORT",
         help="where callers, backend servers and operators connect",
     ),
     documents.Field(
@@ -85,12 +85,12 @@
         documents.address,
         "",
         True,
-        "an IP number and port, IP:PORT",
+        "an IP address and port, IP:PORT",
         help="UDP address on which our processes exchange announcements",
     ),
     documents.Field(
         "gossip_seeds",
-        documents.listed(documents.address),
+        documents.list_of(documents.address),
         (),
         help="UDP addresses of some other processes of ours",
     ),
@@ -167,13 +167,13 @@
 _MEMBER = (
     documents.Field("name", documents.string(), "", True, "a name"),
     documents.Field(
-        "rpc_address", documents.address, "", True, "IP number and port"
+        "rpc_address", documents.address, "", True, "IP address and port"
     ),
 )
 
 _MEMBERS = documents.Field(
     "control",
-    documents.listed(
+    documents.list_of(
         documents.record(_MEMBER, lambda values: Member(**values)), 7
     ),
     (),
@@ -182,7 +182,7 @@
 )
 _CONTROL_SEEDS = documents.Field(
     "control_seeds",
-    documents.listed(documents.address, 7),
+    documents.list_of(documents.address, 7),
     (),
     help="rpc addresses of some control instances, in place of `control`:"
     " the instances then find each other and let newcomers vote by themselves",
@@ -195,7 +195,7 @@
         documents.address,
         "",
         True,
-        "an IP number and port, IP:PORT",
+        "an IP address and port, IP:PORT",
         help="where other processes of ours connect",
     ),
     documents.Field(
@@ -385,7 +385,7 @@
     *_CALLER_LIMITS,
     documents.Field(
         "region_delays_ms",
-        documents.keyed(documents.number(float, 0, 10_000)),
+        documents.mapping_of(documents.number(float, 0, 10_000)),
         None,
         unit="ms",
         help="one-way delay from this entry's region to each other region",
--- a/tests/support/local_entries.py
+++ b/tests/support/local_entries.py
@@ -99,7 +99,7 @@
         current = entry.config.snapshot.held
         home = (messages.Region("dar", False),)
         req = messages.Request(
-            "r", "ledger", regions.allowed(home, (), current.evacuated), 0,
+            "r", "ledger", regions.restrict(home, (), current.evacuated), 0,
             1e9, (), f"pay {self._rng.randrange(_OBJECTS)}", 0.25, "pay",
         )  # fmt: skip
         pool = entry.config.snapshot.tables.pool("ledger")
