--- a/hyssopfold/core/balancing/node.py
+++ b/hyssopfold/core/balancing/node.py
@@ -192,7 +192,7 @@
 
     def tick(self, now: float) -> list[messages.Effect]:
         """Claim and renew terms, send heartbeats, serve queues and resend."""
-        for entry in self._directory.instances.words():
+        for entry in self._directory.instances.records():
             self._last_listed_at[entry.name] = now
         effects = self.holder.tick(now)
         for pool_region, servers in self._servers_by_pool().items():
@@ -207,7 +207,7 @@
         for pool_region in self._states:
             if pool_region.pool in self._pools:
                 servers_by_pool[pool_region] = []
-        for server in self._directory.servers.words():
+        for server in self._directory.servers.records():
             if server.region != self._cfg.region or server.state != "ready":
                 continue
             if server.pool in self._pools:
--- a/hyssopfold/entry/configuration.py
+++ b/hyssopfold/entry/configuration.py
@@ -57,9 +57,9 @@
         control: Clients to the control instances.
         peers: Makes a client to another entry.
         rng: Source of the order in which instances are asked.
-        ways: Ways by which revisions are learned.
+        modes: Which modes of update are on.
         timing: Seconds between questions.
-        knows_all: Whether `control` are all control instances there are.
+        control_is_complete: Whether `control` lists all control instances.
     """
 
     def __init__(
@@ -68,15 +68,20 @@
         control: list[rpc.Client],
         peers: rpc.Clients,
         rng: random.Random,
-        ways: messages.Ways = follower.ALL_WAYS,
+        modes: messages.UpdateModes = follower.ALL_MODES,
         timing: follower.Timing = follower.USUAL_TIMING,
-        knows_all: bool = True,
+        control_is_complete: bool = True,
     ) -> None:
         self._name = name
         self._control = {client.address: client for client in control}
         self._peers = peers
         self._follower = follower.Follower(
-            list(self._control), rng, ways, timing, unreadable, knows_all
+            list(self._control),
+            rng,
+            modes,
+            timing,
+            unreadable,
+            control_is_complete,
         )
         self._inbox, self._events = trio.open_memory_channel[messages.Event](
             _QUEUE
@@ -106,10 +111,10 @@
 
         Cheap enough for each message: all but a higher revision ends here.
         """
-        if revision <= self._follower.wanted:
+        if revision <= self._follower.target_revision:
             return
         try:
-            self._inbox.send_nowait(messages.Heard(source, revision))
+            self._inbox.send_nowait(messages.RevisionReported(source, revision))
         except trio.WouldBlock:
             # The next message of anyone tells the same.
             logger.debug(logs.Event("hint-dropped", revision=revision))
@@ -130,7 +135,7 @@
             return await self._events.receive()
         return messages.Tick()
 
-    async def ask(self, effect: messages.Ask) -> None:
+    async def ask(self, effect: messages.SendPoll) -> None:
         """Ask one instance and take its answer in."""
         event: messages.Event
         client = self._control.get(effect.source)
@@ -145,10 +150,10 @@
         )
         try:
             answer = await client.call(poll_wire.POLL, req, effect.timeout_s)
-            event = messages.Answered(effect.call, *answer)
+            event = messages.PollAnswered(effect.poll_id, *answer)
         except errors.PeerUnavailableError as exc:
             logger.debug(logs.Event("poll-failed", to=effect.source, error=exc))
-            event = messages.Failed(effect.call)
+            event = messages.PollFailed(effect.poll_id)
         await self._inbox.send(event)
 
     def install(self, revision: int, encoded: bytes) -> None:
@@ -177,7 +182,9 @@
 
 @_carry.register
 def _(
-    effect: messages.Ask, configuration: Configuration, nursery: trio.Nursery
+    effect: messages.SendPoll,
+    configuration: Configuration,
+    nursery: trio.Nursery,
 ) -> None:
     nursery.start_soon(configuration.ask, effect)
 
