--- a/hyssopfold/control/orders.py
+++ b/hyssopfold/control/orders.py
@@ -105,7 +105,7 @@
         if self._directory is None or replica.is_blank or replica.is_voter:
             return None
         voters = {member.address for member in replica.register.members}
-        for record in self._directory.instances.words():
+        for record in self._directory.instances.records():
             if record.rpc_address in voters and record.state == "ready":
                 return Elsewhere(record.address)
         return None
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -122,7 +122,7 @@
             rpc.Clients(links),
             self.rng,
             timing=follower.Timing(hold_s=cfg.poll_s),
-            knows_all=bool(addresses),
+            control_is_complete=bool(addresses),
         )
 
     def _placement(
@@ -247,7 +247,7 @@
             return
         found = [
             one.rpc_address
-            for one in self.known.instances.words()
+            for one in self.known.instances.records()
             if one.role == "control" and one.rpc_address
         ]
         self.config.set_control(found)
--- a/hyssopfold/transport/gossip.py
+++ b/hyssopfold/transport/gossip.py
@@ -18,16 +18,16 @@
 from hyssopfold.core.membership import broadcasts
 from hyssopfold.core.membership import directory
 from hyssopfold.core.membership import effects as effects_module
+from hyssopfold.core.membership import gossip_protocol
 from hyssopfold.core.membership import messages
-from hyssopfold.core.membership import spread
 from hyssopfold.transport import auth
 from hyssopfold.transport import datagram_wire
 from hyssopfold.transport import traffic_counter
 
 logger = logging.getLogger(__name__)
 
-PERIOD_S = spread.PERIOD_S
-SPREAD_S = spread.SPREAD_S
+PERIOD_S = gossip_protocol.PERIOD_S
+SPREAD_S = gossip_protocol.PROPAGATION_S
 _RECEIVE_BYTES = 65_536
 _KIND = "Datagram"
 _QUEUE = 4096
@@ -75,10 +75,15 @@
         self.on_revision: Callable[[str, int], None] = _ignore
         self.directory = directory.Directory(lease_s)
         self._new_protocol = functools.partial(
-            spread.Spread, myself, seeds, self.directory, lease_s, rng
+            gossip_protocol.GossipProtocol,
+            myself,
+            seeds,
+            self.directory,
+            lease_s,
+            rng,
         )
         # Created on first use, since it needs the time of its start.
-        self._started_protocol: spread.Spread | None = None
+        self._started_protocol: gossip_protocol.GossipProtocol | None = None
         self._outbox_in, self._outbox = trio.open_memory_channel[
             tuple[str, bytes]
         ](_QUEUE)
@@ -99,7 +104,7 @@
         )
 
     @property
-    def _protocol(self) -> spread.Spread:
+    def _protocol(self) -> gossip_protocol.GossipProtocol:
         if self._started_protocol is None:
             self._started_protocol = self._new_protocol(trio.current_time())
         return self._started_protocol
@@ -157,7 +162,7 @@
         instances are returned.
         """
         now = trio.current_time()
-        instances = list(self.directory.instances.words())
+        instances = list(self.directory.instances.records())
         live = [
             instance
             for instance in instances
--- a/hyssopfold/transport/traffic_counter.py
+++ b/hyssopfold/transport/traffic_counter.py
@@ -51,7 +51,7 @@
             self._distances_version = self._directory.instances.changes
             self._distances = {
                 instance.gossip_address: self._distance_of(instance)
-                for instance in self._directory.instances.words()
+                for instance in self._directory.instances.records()
             }
         return self._distances.get(address, "unknown")
 
