--- a/hyssopfold/transport/gossip.py
+++ b/hyssopfold/transport/gossip.py
@@ -27,7 +27,7 @@
 logger = logging.getLogger(__name__)
 
 PERIOD_S = gossip_protocol.PERIOD_S
-SPREAD_S = gossip_protocol.PROPAGATION_S
+PROPAGATION_S = gossip_protocol.PROPAGATION_S
 _RECEIVE_BYTES = 65_536
 _KIND = "Datagram"
 _QUEUE = 4096
