--- a/hyssopfold/transport/claims_wire.py
+++ b/hyssopfold/transport/claims_wire.py
@@ -13,7 +13,7 @@
 
 
 class Done(NamedTuple):
-    """Response: the request was processed."""
+    """Answer: the request was processed."""
 
     ok: bool = True
 
--- a/hyssopfold/transport/consensus_wire.py
+++ b/hyssopfold/transport/consensus_wire.py
@@ -17,7 +17,7 @@
 
 
 class Ack(NamedTuple):
-    """Response: the message arrived; a reply to it is a separate message."""
+    """Answer: the message arrived; a reply to it is a separate message."""
 
 
 DELIVER = rpc.Method("Deliver", Envelope, Ack)
--- a/hyssopfold/transport/poll_wire.py
+++ b/hyssopfold/transport/poll_wire.py
@@ -28,13 +28,13 @@
 
 
 class PollAnswer(NamedTuple):
-    """Response: the newest revision of the callee.
+    """Answer: the newest revision of the callee.
 
     Attributes:
         update: The revision, with a difference from the caller's or the value.
         strong: Whether a majority confirmed the revision after the request.
         age_s: Seconds since the last confirmation by a majority.
-        waited_s: Seconds from the request to the response.
+        waited_s: Seconds from the request to the answer.
     """
 
     update: messages.Update
