--- a/hyssopfold/control/client.py
+++ b/hyssopfold/control/client.py
@@ -1,4 +1,4 @@
-"""Client of the operators' API that tries one control instance after another."""
+"""Client of the operators' API that tries the control instances in turn."""
 
 from collections.abc import Sequence
 from typing import Any
--- a/tests/steps/control/orders_steps.py
+++ b/tests/steps/control/orders_steps.py
@@ -90,7 +90,8 @@
 
 
 @when(
-    'orders "{name}" and "{other_name}" put versions {first:d} and {second:d} on base {base:d} at once'
+    'orders "{name}" and "{other_name}" put versions {first:d} and {second:d}'
+    " on base {base:d} at once"
 )
 def _(context, name, other_name, first, second, base):
     both = [
--- a/tests/steps/control/quarantine_records_steps.py
+++ b/tests/steps/control/quarantine_records_steps.py
@@ -55,7 +55,8 @@
 
 
 @given(
-    "a quarantine record that was written {ago:g} s ago, {age:g} s after a crash"
+    "a quarantine record that was written {ago:g} s ago, {age:g} s after a"
+    " crash"
 )
 def _(context, ago, age):
     clock = _Clock()
