--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -196,7 +196,7 @@
             regions.restrict(
                 self._decision.regions,
                 self._route.allowed_regions,
-                self._exchange.snapshot.held.evacuated,
+                self._exchange.snapshot.state.evacuated,
             ),
             self._route.priority,
             effect.deadline,
--- a/hyssopfold/entry/configuration.py
+++ b/hyssopfold/entry/configuration.py
@@ -29,15 +29,15 @@
 
     Args:
         revision: Revision of the state.
-        held: The state.
+        replicated_state: The state.
     """
 
-    def __init__(self, revision: int, held: state.State) -> None:
+    def __init__(self, revision: int, replicated_state: state.State) -> None:
         self.revision = revision
-        self.held = held
-        self.tables = held.tables
-        self.shifts = held.shifts
-        self.router = routing.Router(held.tables.routes)
+        self.state = replicated_state
+        self.tables = replicated_state.tables
+        self.shifts = replicated_state.shifts
+        self.router = routing.Router(replicated_state.tables.routes)
 
 
 def unreadable(value: bytes) -> str:
--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -218,7 +218,7 @@
             object=exchange.object_key,
             caller=exchange.client,
             revision=exchange.snapshot.revision,
-            version=exchange.snapshot.held.version,
+            version=exchange.snapshot.state.version,
             revision_age_s=round(age_s, 3),
         )
 
--- a/hyssopfold/entry/steering.py
+++ b/hyssopfold/entry/steering.py
@@ -97,7 +97,7 @@
         snapshot = self._config.snapshot
         if snapshot.revision != self._revision:
             self._revision = snapshot.revision
-            self.shares.install(snapshot.held, now, utc_s)
+            self.shares.install(snapshot.state, now, utc_s)
 
     def _look_around(self, pool: str) -> regions.SteeringContext:
         domains: dict[str, set[str]] = defaultdict(set)
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -135,7 +135,7 @@
                 chooser,
                 self.spread,
                 self.rng,
-                lambda: self.config.snapshot.held.evacuated,
+                lambda: self.config.snapshot.state.evacuated,
             )
         # Only entries that grant slots to each other load what that takes.
         from hyssopfold.core.balancing import node
--- a/tests/steps/entry/steering_steps.py
+++ b/tests/steps/entry/steering_steps.py
@@ -129,7 +129,7 @@
     body = msgspec.json.decode(answer.body)
     started = shares.TrafficShares()
     # Its clock is an hour ahead: by it the drain is done.
-    started.install(context.configuration.snapshot.held, 0.0, 3600.0)
+    started.install(context.configuration.snapshot.state, 0.0, 3600.0)
     for pool, parts in adoption.parts_of(body["pools"]).items():
         started.adopt(pool, parts)
     mine, theirs = started.reports()[0], running.shares.reports()[0]
--- a/tests/support/local_entries.py
+++ b/tests/support/local_entries.py
@@ -96,7 +96,7 @@
             await self._place_one(self.entries[number % len(self.entries)])
 
     async def _place_one(self, entry):
-        current = entry.config.snapshot.held
+        current = entry.config.snapshot.state
         home = (messages.Region("dar", False),)
         req = messages.Request(
             "r", "ledger", regions.restrict(home, (), current.evacuated), 0,
