--- a/hyssopfold/entry/configuration.py
+++ b/hyssopfold/entry/configuration.py
@@ -40,7 +40,7 @@
         self.router = routing.Router(replicated_state.tables.routes)
 
 
-def unreadable(value: bytes) -> str:
+def decode_error(value: bytes) -> str:
     """Return why this program cannot read a value, or "" when it can."""
     try:
         state.decode(value)
@@ -76,7 +76,7 @@
         self._control = {client.address: client for client in control}
         self._peers = peers
         self._follower = follower.Follower(
-            list(self._control), rng, ways, timing, unreadable, knows_all
+            list(self._control), rng, ways, timing, decode_error, knows_all
         )
         self._inbox, self._events = trio.open_memory_channel[messages.Event](
             _QUEUE
@@ -101,7 +101,7 @@
         """Ask the control instances at these addresses from now on."""
         self._follower.set_control(addresses)
 
-    def hear(self, source: str, revision: int) -> None:
+    def record_revision(self, source: str, revision: int) -> None:
         """Take note that `source` has `revision` in force.
 
         Cheap enough for each message: all but a higher revision ends here.
@@ -130,7 +130,7 @@
             return await self._events.receive()
         return messages.Tick()
 
-    async def ask(self, effect: messages.Ask) -> None:
+    async def poll(self, effect: messages.Ask) -> None:
         """Ask one instance and take its answer in."""
         event: messages.Event
         client = self._control.get(effect.source)
@@ -179,7 +179,7 @@
 def _(
     effect: messages.Ask, configuration: Configuration, nursery: trio.Nursery
 ) -> None:
-    nursery.start_soon(configuration.ask, effect)
+    nursery.start_soon(configuration.poll, effect)
 
 
 @_carry.register
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -77,7 +77,7 @@
         )
         self.known = self.spread.directory
         self.config = self._configuration()
-        self.spread.on_revision = self.config.hear
+        self.spread.on_revision = self.config.record_revision
         self.place = self._placement()
         self.connected = connections.Pool(
             self._bound, cfg.proven_connection_s, cfg.connect_timeout_s
--- a/tests/steps/entry/configuration_steps.py
+++ b/tests/steps/entry/configuration_steps.py
@@ -205,7 +205,7 @@
                 while near.snapshot.revision < 2:
                     await trio.sleep(0.01)
                 # As the other entry's datagrams tell, each second.
-                far.hear(context.peer, near.snapshot.revision)
+                far.record_revision(context.peer, near.snapshot.revision)
                 while far.snapshot.revision < 2:
                     await trio.sleep(0.01)
             context.values = (near.snapshot.tables, far.snapshot.tables)
