--- a/hyssopfold/entry/lookups.py
+++ b/hyssopfold/entry/lookups.py
@@ -20,13 +20,13 @@
 
 # How old the arrangement of the entries may be, in seconds; an entry that
 # stops may be named for so long after its word has come.
-MAX_AGE_S = 0.25
+MAX_INDEX_AGE_S = 0.25
 # Callers take no more addresses than this.
-MAX_NAMED = 64
+MAX_ENTRIES = 64
 _REQUEST_KEY = "lookup "
 
 
-class Near(NamedTuple):
+class RegionEntries(NamedTuple):
     """Entries of the nearest region that has any, and how long that holds."""
 
     entries: list[messages.Instance]
@@ -61,7 +61,7 @@
         self._spread = spread
         self._steering = steer
         self._index = lookup.EntryIndex()
-        self._arranged_at = -MAX_AGE_S
+        self._arranged_at = -MAX_INDEX_AGE_S
         self._regions: tuple[str, ...] = ()
 
     def answer(self, scope: http.Scope) -> http.Answer:
@@ -117,7 +117,7 @@
             }
         )
 
-    def near(self, region: str) -> Near:
+    def entries_near(self, region: str) -> RegionEntries:
         """Return all entries of a region, or of the next that has any.
 
         A caller spreads its connections over all of them, so one that is lost
@@ -126,11 +126,11 @@
         self._arrange()
         entries = self._index.in_first_region(self._preferred((region,)))
         ttl_s = lookup.ttl_s(self._usual_ttl_s, self._index.is_changing)
-        return Near(entries[:MAX_NAMED], ttl_s)
+        return RegionEntries(entries[:MAX_ENTRIES], ttl_s)
 
     def _arrange(self) -> None:
         now = trio.current_time()
-        if now - self._arranged_at < MAX_AGE_S:
+        if now - self._arranged_at < MAX_INDEX_AGE_S:
             return
         self._arranged_at = now
         instances = self._spread.live_instances()
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -283,7 +283,7 @@
         return leaving.Leave(
             core_stop.Stop(
                 self.cfg.lookup_ttl_s,
-                gossip.SPREAD_S + lookups.MAX_AGE_S,
+                gossip.SPREAD_S + lookups.MAX_INDEX_AGE_S,
                 self.cfg.stop_max_s,
                 self.cfg.stop_serve_s,
             ),
