--- a/hyssopfold/entry/leaving.py
+++ b/hyssopfold/entry/leaving.py
@@ -18,7 +18,7 @@
 IDLE_BEFORE_CLOSE_S = 0.5
 
 
-class Leave:
+class PlannedStop:
     """Take an entry out of look-ups and see its requests to their end.
 
     Args:
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -278,9 +278,9 @@
             children.append(("rpc", serve))
         return children
 
-    def leave(self, listener: serving.Listener) -> leaving.Leave:
+    def leave(self, listener: serving.Listener) -> leaving.PlannedStop:
         """Return the steps of a planned stop."""
-        return leaving.Leave(
+        return leaving.PlannedStop(
             core_stop.Stop(
                 self.cfg.lookup_ttl_s,
                 gossip.SPREAD_S + lookups.MAX_INDEX_AGE_S,
--- a/tests/steps/entry/leaving_steps.py
+++ b/tests/steps/entry/leaving_steps.py
@@ -56,7 +56,7 @@
 def _run(context, step):
     async def main():
         path = datapath.DataPath(1)
-        leave = leaving.Leave(
+        leave = leaving.PlannedStop(
             context.steps,
             path.listener,
             context.spread,
--- a/tests/support/mixed.py
+++ b/tests/support/mixed.py
@@ -96,7 +96,7 @@
     async def stop_entry(self, path):
         """Stop an entry as planned."""
         steps = stop.Stop(TTL_S, SPREAD_S, MAX_S)
-        leave = leaving.Leave(
+        leave = leaving.PlannedStop(
             steps,
             path.listener,
             _FakeSpread(),
