--- a/hyssopfold/entry/claims.py
+++ b/hyssopfold/entry/claims.py
@@ -22,7 +22,7 @@
 logger = logging.getLogger(__name__)
 
 CALL_TIMEOUT_S = 0.5
-SETTLE_TRIES = 3
+SETTLE_ATTEMPTS = 3
 MAX_KEY_BYTES = 255
 _QUEUE = 1_000
 _BATCH = 500
@@ -33,7 +33,7 @@
     settle: claims.Settle
 
 
-class Held(NamedTuple):
+class GrantedClaim(NamedTuple):
     """A claim that was granted to a request."""
 
     claim_id: bytes
@@ -67,7 +67,7 @@
 
     async def claim(
         self, exchange: exchange_module.Exchange
-    ) -> Held | http.Refusal:
+    ) -> GrantedClaim | http.Refusal:
         """Return the claim on a request's key, or why it may not run."""
         key = exchange.header(b"idempotency-key") or b""
         if not 0 < len(key) <= MAX_KEY_BYTES:
@@ -78,7 +78,7 @@
         )
         granted, verdict = await self._ask_all(ask)
         if verdict.kind is claims.VerdictKind.GRANTED:
-            return Held(ask.claim_id, granted)
+            return GrantedClaim(ask.claim_id, granted)
         self._release(ask, granted)
         logger.info(
             logs.Event(
@@ -136,7 +136,7 @@
         return verdicts
 
     def settle(
-        self, held: Held, request_id: str, outcome: str, status: int
+        self, held: GrantedClaim, request_id: str, outcome: str, status: int
     ) -> None:
         """Tell the holders what became of a request, without waiting.
 
@@ -175,7 +175,7 @@
                 await self._settle_at(name, settling.settle)
 
     async def _settle_at(self, name: str, settle: claims.Settle) -> None:
-        for _ in range(SETTLE_TRIES):
+        for _ in range(SETTLE_ATTEMPTS):
             try:
                 await self._call(name, claims_wire.SETTLE, settle)
                 return
