--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -311,8 +311,8 @@
         fingerprint = self._exchange.fingerprint
         may_run = self._machine.last_sent is events.Sent.MAYBE_SENT
         if self._is_broken and may_run and fingerprint:
-            self._parts.upstream.checks.suspect(
-                crash_checks.Broken(
+            self._parts.upstream.checks.schedule_check(
+                crash_checks.BrokenAttempt(
                     server, fingerprint, self._exchange.request_id
                 )
             )
--- a/hyssopfold/entry/crash_checks.py
+++ b/hyssopfold/entry/crash_checks.py
@@ -20,7 +20,7 @@
 _QUEUE = 1_000
 
 
-class Broken(NamedTuple):
+class BrokenAttempt(NamedTuple):
     """A request whose connection broke when its server might run it."""
 
     server: messages.Server
@@ -28,7 +28,7 @@
     request_id: str
 
 
-class Reports(Protocol):
+class CrashRecorder(Protocol):
     """What keeps count of crashes."""
 
     def crashed(self, server: messages.Server, fingerprint: bytes) -> None:
@@ -47,15 +47,17 @@
     def __init__(
         self,
         connected: connections.Pool,
-        reports: Reports,
+        reports: CrashRecorder,
         meter: metrics.Metrics,
     ) -> None:
         self._connected = connected
         self._reports = reports
         self._meter = meter
-        self._inbox, self._broken = trio.open_memory_channel[Broken](_QUEUE)
+        self._inbox, self._broken = trio.open_memory_channel[BrokenAttempt](
+            _QUEUE
+        )
 
-    def suspect(self, broken: Broken) -> None:
+    def schedule_check(self, broken: BrokenAttempt) -> None:
         """Check the server of a broken connection soon, without waiting."""
         try:
             self._inbox.send_nowait(broken)
@@ -70,7 +72,7 @@
             async for broken in self._broken:
                 nursery.start_soon(self._check, broken)
 
-    async def _check(self, broken: Broken) -> None:
+    async def _check(self, broken: BrokenAttempt) -> None:
         server = broken.server
         if not await self._connected.refuses(server.address):
             return
