--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -270,7 +270,7 @@
         async def pace(part: bytes, length: int | None) -> None:
             if server.region != parts.region:
                 bulk = length is None or length > BULK_BYTES
-                await parts.pacer.take(server.region, len(part), bulk)
+                await parts.pacer.throttle(server.region, len(part), bulk)
 
         return pace
 
--- a/hyssopfold/entry/pacing.py
+++ b/hyssopfold/entry/pacing.py
@@ -36,7 +36,7 @@
         self._links: dict[str, link_pacing.LinkPacer] = {}
         self._counted_at = -_COUNT_S
 
-    async def take(self, region: str, size: int, bulk: bool) -> None:
+    async def throttle(self, region: str, size: int, bulk: bool) -> None:
         """Wait until `size` bytes may go to or come from `region`.
 
         Args:
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -72,7 +72,7 @@
 class FakePacer:
     """Links with room for all."""
 
-    async def take(self, region, size, bulk):
+    async def throttle(self, region, size, bulk):
         """Let all pass."""
 
 
