--- a/hyssopfold/entry/claims.py
+++ b/hyssopfold/entry/claims.py
@@ -248,7 +248,9 @@
 def _digest(exchange: exchange_module.Exchange, key: bytes) -> bytes:
     """Return the claim's id: two callers may use the same key."""
     parts = [exchange.host.encode("latin-1"), key]
-    parts += [exchange.header(name) or b"" for name in fingerprints.CREDENTIALS]
+    parts += [
+        exchange.header(name) or b"" for name in fingerprints.CREDENTIAL_HEADERS
+    ]
     return fingerprints.digest(parts)
 
 
--- a/hyssopfold/entry/exchange.py
+++ b/hyssopfold/entry/exchange.py
@@ -12,7 +12,7 @@
 
 MAX_BODY_BYTES = 16 * 1024**3
 # A payment or an order is shorter; keeping it lets it be sent again.
-KEPT_BODY_BYTES = fingerprints.MAX_BODY_BYTES
+KEPT_BODY_BYTES = fingerprints.MAX_HASHED_BODY_BYTES
 
 _HOP_BY_HOP = frozenset(
     (
@@ -111,7 +111,7 @@
 
     def _identity(self) -> list[bytes]:
         """Return what the heads of two equal requests have in common."""
-        names = (b"host", *fingerprints.CREDENTIALS)
+        names = (b"host", *fingerprints.CREDENTIAL_HEADERS)
         headers = [self.header(name) or b"" for name in names]
         return [self.method.encode(), self.target(), *headers]
 
@@ -126,7 +126,7 @@
     @property
     def fingerprint_head(self) -> bytes:
         """Return the part of the fingerprint that the head alone decides."""
-        return self._print.head
+        return self._print.head_digest
 
     @property
     def _is_recognised(self) -> bool:
--- a/hyssopfold/entry/fingerprints.py
+++ b/hyssopfold/entry/fingerprints.py
@@ -6,9 +6,9 @@
 from hyssopfold.core.attempts import quarantine
 
 # What tells one caller from another.
-CREDENTIALS = (b"authorization", b"cookie", b"x-api-key")
+CREDENTIAL_HEADERS = (b"authorization", b"cookie", b"x-api-key")
 # Longer bodies are told apart by their first bytes alone.
-MAX_BODY_BYTES = 64 * 1024
+MAX_HASHED_BODY_BYTES = 64 * 1024
 
 _BODY_DIGEST_BYTES = 8
 
@@ -27,9 +27,9 @@
     """
 
     def __init__(self, head: Iterable[bytes]) -> None:
-        self.head = digest(head, quarantine.HEAD_BYTES)
+        self.head_digest = digest(head, quarantine.HEAD_BYTES)
         self._hash = hashlib.blake2b(digest_size=_BODY_DIGEST_BYTES)
-        self._room = MAX_BODY_BYTES
+        self._room = MAX_HASHED_BODY_BYTES
 
     def add(self, part: bytes) -> None:
         """Take in the next part of the body."""
@@ -44,4 +44,4 @@
 
     def value(self) -> bytes:
         """Return the digests of the head and of what was taken in."""
-        return self.head + self._hash.digest()
+        return self.head_digest + self._hash.digest()
