--- a/hyssopfold/entry/status.py
+++ b/hyssopfold/entry/status.py
@@ -87,7 +87,7 @@
         in_flight: int,
         now: float,
     ) -> dict[str, Any]:
-        reason = emptying(pool, server)
+        reason = drain_reason(pool, server)
         left_s = None
         if reason:
             began, first = self._emptying.setdefault(
@@ -112,7 +112,7 @@
         }
 
 
-def emptying(pool: tables.Pool, server: messages.Server) -> str:
+def drain_reason(pool: tables.Pool, server: messages.Server) -> str:
     """Return why a server is being emptied, or "" when it is not."""
     drains = pool.drains
     if server.state == "leaving":
