--- a/bench/capacity/lookup.py
+++ b/bench/capacity/lookup.py
@@ -64,7 +64,7 @@
         snapshot=configuration.Snapshot(1, state.State(first))
     )
     known = directory.Directory(1e9)
-    clients = blocks.Blocks("")
+    clients = blocks.ClientBlocks("")
     steer = steering.Steering("r0", {}, config, known, clients)
     answers = lookups.Lookups(
         "r0", {}, 5.0, config, _Spread(_entries(count)), steer
--- a/hyssopfold/entry/blocks.py
+++ b/hyssopfold/entry/blocks.py
@@ -72,7 +72,7 @@
     return hashlib.blake2b(data, digest_size=_DIGEST_BYTES)
 
 
-class Blocks:
+class ClientBlocks:
     """Keep a table of client blocks and apply the changes appended to it.
 
     Args:
--- a/hyssopfold/entry/steering.py
+++ b/hyssopfold/entry/steering.py
@@ -40,7 +40,7 @@
         delays_ms: Mapping[str, float],
         config: configuration.Configuration,
         known: directory.Directory,
-        clients: blocks.Blocks,
+        clients: blocks.ClientBlocks,
     ) -> None:
         self.shares = shares.TrafficShares()
         self._region = region
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -92,7 +92,7 @@
             self.connected, self.crashes, self.meter
         )
         self.servers = upstream.Upstream(self.connected, self.checks)
-        self.clients = blocks.Blocks(cfg.client_blocks)
+        self.clients = blocks.ClientBlocks(cfg.client_blocks)
         self.steer = steering.Steering(
             cfg.region,
             cfg.region_delays_ms,
--- a/tests/steps/core/steering/client_blocks_steps.py
+++ b/tests/steps/core/steering/client_blocks_steps.py
@@ -52,12 +52,12 @@
     )
     context.built = pathlib.Path(folder.name, "built")
     blocks.build(str(source), str(context.built))
-    client_regions = blocks.Blocks(str(context.built))
+    client_regions = blocks.ClientBlocks(str(context.built))
     assert client_regions.region_of("10.0.9.9") == "dar"
     truncated = pathlib.Path(folder.name, "cut")
     truncated.write_bytes(context.built.read_bytes()[:-3])
     try:
-        blocks.Blocks(str(truncated))
+        blocks.ClientBlocks(str(truncated))
     except errors.InvalidDocumentError:
         return
     raise AssertionError("a truncated file was accepted")
@@ -65,7 +65,7 @@
 
 @then("a line appended to its changes is in force, an incomplete line is not")
 def _(context):
-    client_regions = blocks.Blocks(str(context.built))
+    client_regions = blocks.ClientBlocks(str(context.built))
     changes = pathlib.Path(str(context.built) + blocks.CHANGES_SUFFIX)
     changes.write_text("10.0.1.0/24 m\n10.0.2.0/24", encoding="utf-8")
     assert client_regions.apply_changes() == 1
--- a/tests/steps/entry/steering_steps.py
+++ b/tests/steps/entry/steering_steps.py
@@ -61,7 +61,7 @@
 
 
 def _steering(context, region, lines):
-    clients = blocks.Blocks("")
+    clients = blocks.ClientBlocks("")
     clients.table = client_blocks.parse(lines, "blocks")
     delays = {"dar": 35.0, "arusha": 35.0}
     return steering.Steering(
