--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -154,7 +154,9 @@
             parts.placement.release(answer, unused)
             return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
         if not effect.tried:
-            parts.steering.note(pool.name, self._decision, answer.server)
+            parts.steering.record_server(
+                pool.name, self._decision, answer.server
+            )
         self._grant = answer
         self._granted_at = trio.current_time()
         self._log_grant(answer, effect)
--- a/hyssopfold/entry/lookups.py
+++ b/hyssopfold/entry/lookups.py
@@ -73,7 +73,7 @@
         self._arrange()
         snapshot = self._config.snapshot
         route = snapshot.router.match(host, path, None) if path else None
-        home = self._steering.home_of(client)
+        home = self._steering.home_region_of(client)
         order: tuple[str, ...] = (home or self._region,)
         reason = "nearest"
         changing = self._index.is_changing
--- a/hyssopfold/entry/steering.py
+++ b/hyssopfold/entry/steering.py
@@ -106,7 +106,7 @@
         near = regions.by_delay(self._region, domains, self._delays_ms)
         return regions.SteeringContext(self._region, near, domains)
 
-    def home_of(self, client: str) -> str | None:
+    def home_region_of(self, client: str) -> str | None:
         """Return the region at home for a client's address, if known."""
         return self._blocks.region_of(client) if client else None
 
@@ -139,12 +139,12 @@
         place = self._places.get(pool)
         if place is None:
             place = self._look_around(pool)
-        home = self.home_of(client)
+        home = self.home_region_of(client)
         if home is not None and home != place.home_region:
             place = place._replace(home_region=home)
         return self.shares.decide(route, place, request_id, pool)
 
-    def note(
+    def record_server(
         self, pool: str, decision: regions.Decision, server: messages.Server
     ) -> None:
         """Take in which server got a request that `decide` steered."""
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -83,7 +83,7 @@
         home = messages.Region("dar", False)
         return regions.Decision((home,), ())
 
-    def note(self, pool, decision, server):
+    def record_server(self, pool, decision, server):
         pass
 
 
