--- a/bench/emulator/__main__.py
+++ b/bench/emulator/__main__.py
@@ -61,13 +61,13 @@
 )
 @click.option(
     "--tell-s",
-    default=local_placement.TELL_S,
+    default=local_placement.SILENCE_REPORT_PERIOD_S,
     show_default=True,
     help="How often entries tell each other who is silent; 0 for never.",
 )
 @click.option(
     "--busy",
-    default=local_placement.TOLD_EACH_SIDE,
+    default=local_placement.NEIGHBOURS_EACH_SIDE,
     show_default=True,
     help="Entries on each side that are told of busy servers; 0 for none.",
 )
--- a/bench/soak/day.py
+++ b/bench/soak/day.py
@@ -53,7 +53,7 @@
 def _play(day: Day, planned: list[faults.Fault]) -> world.World:
     site = sites.SITES[day.site]
     held = world.World(site, day.load, day.seed, local.Chooser)
-    held.tell_silent(local_placement.TELL_S)
+    held.tell_silent(local_placement.SILENCE_REPORT_PERIOD_S)
     for fault in planned:
         faults.inflict(held, fault)
     held.run(day.seconds)
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -21,17 +21,17 @@
 
 logger = logging.getLogger(__name__)
 
-_TIDY_S = 5.0
+_PRUNE_PERIOD_S = 5.0
 # How often the entries of a region tell each other of servers that are silent.
-TELL_S = 0.5
+SILENCE_REPORT_PERIOD_S = 0.5
 # Entries that are told each time, drawn anew: bounds what a large region costs.
-MAX_TOLD = 24
+MAX_SILENCE_REPORT_RECEIVERS = 24
 # How long loads of busy servers are gathered before they are told, and to how
 # many entries of the failure domain on each side of this one.
 BUSY_BATCH_S = 0.1
-TOLD_EACH_SIDE = 4
+NEIGHBOURS_EACH_SIDE = 4
 # Servers named in one datagram, of 5 bytes each; a region has no more at once.
-MAX_NAMED = 200
+MAX_SERVERS_PER_DATAGRAM = 200
 
 
 class LocalPlacement:
@@ -103,7 +103,7 @@
             if one.region == me.region
             and one.failure_domain == me.failure_domain
         ]
-        return load_reports.neighbours(me.name, near, TOLD_EACH_SIDE)
+        return load_reports.neighbours(me.name, near, NEIGHBOURS_EACH_SIDE)
 
     def release(
         self, grant: messages.Grant, done: messages.AttemptResult
@@ -137,14 +137,14 @@
 
     async def _tidy(self) -> None:
         while True:
-            await trio.sleep(_TIDY_S)
+            await trio.sleep(_PRUNE_PERIOD_S)
             words = self._directory.servers.words()
             self._chooser.prune({one.server_id for one in words})
 
     async def _tell(self) -> None:
         """Tell the entries of this region: they use the same servers most."""
         while True:
-            await trio.sleep(TELL_S)
+            await trio.sleep(SILENCE_REPORT_PERIOD_S)
             silent = self._chooser.silent_keys(trio.current_time())
             if not silent:
                 continue
@@ -154,9 +154,11 @@
                 for one in self._directory.ready_entries()
                 if one.region == me.region and one.name != me.name
             ]
-            told = self._rng.sample(near, min(MAX_TOLD, len(near)))
+            told = self._rng.sample(
+                near, min(MAX_SILENCE_REPORT_RECEIVERS, len(near))
+            )
             self._spread.post_all(
-                told, messages.SilentServers(silent[:MAX_NAMED])
+                told, messages.SilentServers(silent[:MAX_SERVERS_PER_DATAGRAM])
             )
 
     async def _tell_busy(self) -> None:
@@ -165,7 +167,7 @@
             await self._is_busy.wait()
             await trio.sleep(BUSY_BATCH_S)
             self._is_busy = trio.Event()
-            loads = self._chooser.take_busy()[:MAX_NAMED]
+            loads = self._chooser.take_busy()[:MAX_SERVERS_PER_DATAGRAM]
             self._spread.post_all(self._neighbours, messages.BusyServers(loads))
 
     async def _hear(self) -> None:
