--- a/hyssopfold/entry/adoption.py
+++ b/hyssopfold/entry/adoption.py
@@ -18,19 +18,21 @@
 PATH = "/hyssop/v1/status"
 MAX_PEERS = 3
 # Others announce themselves each period; an entry alone waits no longer.
-HEAR_S = gossip.PERIOD_S * 1.2
+DISCOVERY_TIMEOUT_S = gossip.PERIOD_S * 1.2
 _ASK_TIMEOUT_S = 1.0
 _PERIOD_S = 0.05
 
 
-async def adopt(spread: gossip.Gossip, held: shares.TrafficShares) -> None:
+async def adopt_shares(
+    spread: gossip.Gossip, held: shares.TrafficShares
+) -> None:
     """Go on from the shares of a running entry, of this region at best.
 
     Without it an entry that restarts midway in a shift would go by the plan
     and its own clock, and one midway in a return from a loss, of which no
     plan tells, would send all of its callers back at once.
     """
-    with trio.move_on_after(HEAR_S):
+    with trio.move_on_after(DISCOVERY_TIMEOUT_S):
         while not _running(spread):
             await trio.sleep(_PERIOD_S)
     for peer in _running(spread)[:MAX_PEERS]:
@@ -55,7 +57,7 @@
             async with httpcore.AsyncConnectionPool() as pool:
                 url = f"http://{peer.address}{PATH}"
                 answer = await pool.request("GET", url)
-        parts = parts_of(msgspec.json.decode(answer.content)["pools"])
+        parts = parts_by_pool(msgspec.json.decode(answer.content)["pools"])
     except (
         httpcore.NetworkError,
         httpcore.TimeoutException,
@@ -75,7 +77,7 @@
     return True
 
 
-def parts_of(pools: Any) -> dict[str, tuple[state.Part, ...]]:
+def parts_by_pool(pools: Any) -> dict[str, tuple[state.Part, ...]]:
     """Return the shares in force by pool, as a status tells them.
 
     Raises:
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -100,7 +100,7 @@
             self.known,
             self.clients,
         )
-        self.catch_up = functools.partial(adoption.adopt, self.spread)
+        self.catch_up = functools.partial(adoption.adopt_shares, self.spread)
         self.claimed = claims.Claims(
             lambda: self.spread.myself,
             self.known,
--- a/tests/steps/entry/steering_steps.py
+++ b/tests/steps/entry/steering_steps.py
@@ -130,7 +130,7 @@
     started = shares.TrafficShares()
     # Its clock is an hour ahead: by it the drain is done.
     started.install(context.configuration.snapshot.state, 0.0, 3600.0)
-    for pool, parts in adoption.parts_of(body["pools"]).items():
+    for pool, parts in adoption.parts_by_pool(body["pools"]).items():
         started.adopt(pool, parts)
     mine, theirs = started.reports()[0], running.shares.reports()[0]
     assert mine.parts == theirs.parts
