--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -1,4 +1,8 @@
-"""Slots that an entry chooses by itself, from what it knows of the servers."""
+"""Local placement: an entry chooses servers without asking another entry.
+
+The choice is based on the load that the entry knows of, and on reports that it
+exchanges with other entries: of silent servers and of busy ones.
+"""
 
 from collections.abc import Callable
 from collections.abc import Collection
@@ -22,54 +26,66 @@
 logger = logging.getLogger(__name__)
 
 _PRUNE_PERIOD_S = 5.0
-# How often the entries of a region tell each other of servers that are silent.
+# Time between two reports of silent servers to the entries of the region.
 SILENCE_REPORT_PERIOD_S = 0.5
-# Entries that are told each time, drawn anew: bounds what a large region costs.
+# Entries that get a report, drawn at random for each report: bounds the number
+# of messages in a large region.
 MAX_SILENCE_REPORT_RECEIVERS = 24
-# How long loads of busy servers are gathered before they are told, and to how
-# many entries of the failure domain on each side of this one.
+# Time during which loads of busy servers are collected into one report, and the
+# number of entries of the failure domain on each side that get it.
 BUSY_BATCH_S = 0.1
 NEIGHBOURS_EACH_SIDE = 4
-# Servers named in one datagram, of 5 bytes each; a region has no more at once.
+# Servers in one datagram, of 5 bytes each; no region has more silent or busy
+# servers at the same time.
 MAX_SERVERS_PER_DATAGRAM = 200
 
 
 class LocalPlacement:
-    """Choose servers without asking another entry.
+    """Place the requests of this entry by its own choice of servers.
 
     Args:
-        chooser: Decisions of this entry.
-        spread: Knows the servers and entries, and carries what is told to these.
-        rng: Draws the entries that are told.
+        chooser: Chooses the servers.
+        gossip_service: Has the directory of servers and entries, and sends the
+            reports.
+        rng: Draws the entries that get a report.
         evacuated: Returns the failure domains that are evacuated now.
     """
 
     def __init__(
         self,
         chooser: local.Chooser,
-        spread: gossip.Gossip,
+        gossip_service: gossip.Gossip,
         rng: random.Random,
         evacuated: Callable[[], Collection[str]],
     ) -> None:
         self._chooser = chooser
-        self._spread = spread
-        self._directory = spread.directory
+        self._gossip = gossip_service
+        self._directory = gossip_service.directory
         self._rng = rng
         self._evacuated = evacuated
-        self._reopened = reopened.ReopenedDomains(spread.directory)
+        self._reopened = reopened.ReopenedDomains(gossip_service.directory)
         self._warm_up_s: dict[str, float] = {}
-        # Names of the entries that serve callers, made once a change.
+        # Entries that serve callers, and their names. The names are computed
+        # again only when the entries change.
         self._entries: tuple[membership.Instance, ...] = ()
         self._names: tuple[str, ...] = ()
         self._neighbours: tuple[str, ...] = ()
-        self._is_busy = trio.Event()
+        self._busy_event = trio.Event()
 
     async def acquire(
         self, req: messages.Request, pool: tables.Pool
     ) -> messages.Grant | messages.Refused:
-        """Return a server, or why there is none; at once."""
+        """Choose a server without waiting.
+
+        Args:
+            req: The request.
+            pool: Its pool.
+
+        Returns:
+            The grant of a server, or why there is none.
+        """
         now = trio.current_time()
-        self._note_reopened(now)
+        self._update_reopened(now)
         view = local.View(
             self._directory.ready_servers(pool.name),
             lambda server_id: self._reopened.is_cold(
@@ -82,8 +98,12 @@
         )
         return self._chooser.choose(req, view)
 
-    def _note_reopened(self, now: float) -> None:
-        """Notice a change before the first request that it concerns is placed."""
+    def _update_reopened(self, now: float) -> None:
+        """Update the reopened domains, before each request is placed.
+
+        The first request after the end of an evacuation must already treat the
+        servers of the domain as cold.
+        """
         for domain in self._reopened.update(self._evacuated(), now):
             logger.info(logs.Event("domain-reopened", domain=domain))
 
@@ -91,107 +111,118 @@
         entries = self._directory.ready_entries()
         if entries is not self._entries:
             self._entries = entries
-            self._names = tuple(one.name for one in entries)
+            self._names = tuple(entry.name for entry in entries)
             self._neighbours = self._find_neighbours()
         return self._names
 
     def _find_neighbours(self) -> tuple[str, ...]:
-        me = self._spread.myself
-        near = [
-            one.name
-            for one in self._entries
-            if one.region == me.region
-            and one.failure_domain == me.failure_domain
+        me = self._gossip.myself
+        domain_names = [
+            entry.name
+            for entry in self._entries
+            if entry.region == me.region
+            and entry.failure_domain == me.failure_domain
         ]
-        return load_reports.neighbours(me.name, near, NEIGHBOURS_EACH_SIDE)
+        return load_reports.neighbours(
+            me.name, domain_names, NEIGHBOURS_EACH_SIDE
+        )
 
     def release(
-        self, grant: messages.Grant, done: messages.AttemptResult
+        self, grant: messages.Grant, attempt_result: messages.AttemptResult
     ) -> None:
-        """Take in how an attempt ended."""
+        """Release a slot and record how its attempt ended."""
         warm_up_s = self._warm_up_s.get(grant.server.pool, 0.0)
         now = trio.current_time()
-        self._chooser.learn(grant, done, now)
-        self._chooser.record_done(grant.server.server_id, done, warm_up_s, now)
+        self._chooser.learn(grant, attempt_result, now)
+        self._chooser.record_done(
+            grant.server.server_id, attempt_result, warm_up_s, now
+        )
         if self._chooser.has_busy:
-            self._is_busy.set()
+            self._busy_event.set()
 
     def in_flight(self) -> dict[str, int]:
         """Return the requests under way by server."""
         return self._chooser.in_flight()
 
     def set_pools(self, pools: Iterable[tables.Pool]) -> None:
-        """Put other rows of pools in force."""
+        """Replace the rows of the pools."""
         self._warm_up_s = {pool.name: pool.warm_up_s for pool in pools}
 
     def leave(self) -> None:
-        """Do nothing: no other entry relies on this one."""
+        """Do nothing: this entry grants no slots to others."""
 
     async def run(self) -> None:
-        """Tell and hear of servers, and forget those that are gone."""
+        """Exchange reports on servers, and prune servers that are gone."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._tidy)
-            nursery.start_soon(self._tell)
-            nursery.start_soon(self._tell_busy)
-            nursery.start_soon(self._hear)
+            nursery.start_soon(self._prune)
+            nursery.start_soon(self._report_silent)
+            nursery.start_soon(self._report_busy)
+            nursery.start_soon(self._receive)
 
-    async def _tidy(self) -> None:
+    async def _prune(self) -> None:
         while True:
             await trio.sleep(_PRUNE_PERIOD_S)
-            words = self._directory.servers.words()
-            self._chooser.prune({one.server_id for one in words})
+            servers = self._directory.servers.words()
+            self._chooser.prune({server.server_id for server in servers})
 
-    async def _tell(self) -> None:
-        """Tell the entries of this region: they use the same servers most."""
+    async def _report_silent(self) -> None:
+        """Report silent servers to entries of this region.
+
+        These entries send most of their requests to the same servers.
+        """
         while True:
             await trio.sleep(SILENCE_REPORT_PERIOD_S)
-            silent = self._chooser.silent_keys(trio.current_time())
-            if not silent:
+            silent_keys = self._chooser.silent_keys(trio.current_time())
+            if not silent_keys:
                 continue
-            me = self._spread.myself
-            near = [
-                one.name
-                for one in self._directory.ready_entries()
-                if one.region == me.region and one.name != me.name
+            me = self._gossip.myself
+            region_names = [
+                entry.name
+                for entry in self._directory.ready_entries()
+                if entry.region == me.region and entry.name != me.name
             ]
-            told = self._rng.sample(
-                near, min(MAX_SILENCE_REPORT_RECEIVERS, len(near))
+            receivers = self._rng.sample(
+                region_names,
+                min(MAX_SILENCE_REPORT_RECEIVERS, len(region_names)),
             )
-            self._spread.post_all(
-                told, messages.SilentServers(silent[:MAX_SERVERS_PER_DATAGRAM])
+            self._gossip.post_all(
+                receivers,
+                messages.SilentServers(silent_keys[:MAX_SERVERS_PER_DATAGRAM]),
             )
 
-    async def _tell_busy(self) -> None:
-        """Tell a few near entries of servers at which requests wait."""
+    async def _report_busy(self) -> None:
+        """Report servers at which requests wait to neighbouring entries."""
         while True:
-            await self._is_busy.wait()
+            await self._busy_event.wait()
             await trio.sleep(BUSY_BATCH_S)
-            self._is_busy = trio.Event()
+            self._busy_event = trio.Event()
             loads = self._chooser.take_busy()[:MAX_SERVERS_PER_DATAGRAM]
-            self._spread.post_all(self._neighbours, messages.BusyServers(loads))
-
-    async def _hear(self) -> None:
-        parcel: datagram_wire.Parcel
-        async for parcel in self._spread.parcels:
-            match parcel.message:
-                case messages.SilentServers(keys):
-                    self._hear_silent(parcel.sender, keys)
+            self._gossip.post_all(self._neighbours, messages.BusyServers(loads))
+
+    async def _receive(self) -> None:
+        received: datagram_wire.Parcel
+        async for received in self._gossip.parcels:
+            match received.message:
+                case messages.SilentServers(incarnation_keys):
+                    self._record_silent(received.sender, incarnation_keys)
                 case messages.BusyServers(loads):
                     self._chooser.record_loads(loads, trio.current_time())
                 case _:
-                    # Sent by an entry with another way of placing requests.
+                    # The sender is an entry that uses another placement.
                     logger.warning(
-                        logs.Event("parcel-dropped", sender=parcel.sender)
+                        logs.Event("parcel-dropped", sender=received.sender)
                     )
 
-    def _hear_silent(self, sender: str, keys: tuple[int, ...]) -> None:
-        for one in self._chooser.record_silent(
-            sender, keys, trio.current_time()
+    def _record_silent(
+        self, sender: str, incarnation_keys: tuple[int, ...]
+    ) -> None:
+        for server_id in self._chooser.record_silent(
+            sender, incarnation_keys, trio.current_time()
         ):
             logger.info(
                 logs.Event(
                     "server-silent",
-                    server=one,
+                    server=server_id,
                     by=sender,
                     others=silence_reports.MIN_REPORTERS,
                     held_s=silence_reports.REPORT_VALID_S,
--- a/hyssopfold/entry/placement.py
+++ b/hyssopfold/entry/placement.py
@@ -1,4 +1,4 @@
-"""Slots for callers' requests: ask for one, hold it, give it back."""
+"""Placement by grants: acquires and releases slots of backend servers."""
 
 from collections.abc import Iterable
 import functools
@@ -21,74 +21,89 @@
 
 
 class Placement:
-    """Carry the effects of placement: messages, answers, decision lines.
+    """Acquire slots that a grantor leases, for the requests of this entry.
+
+    It feeds events to the placement node of this entry and executes the
+    effects: it sends messages, answers waiting requests and logs decisions.
 
     Args:
-        core: Decisions of this entry.
-        spread: Carries messages to the other instances.
+        core: The placement node, which decides.
+        gossip_service: Sends messages to the other instances and receives
+            theirs.
     """
 
-    def __init__(self, core: node.Node, spread: gossip.Gossip) -> None:
+    def __init__(self, core: node.Node, gossip_service: gossip.Gossip) -> None:
         self._core = core
-        self._spread = spread
+        self._gossip = gossip_service
         self._tickets = itertools.count(1)
-        self._answers: dict[
+        # Channels to the requests that wait for a slot, by ticket.
+        self._result_senders: dict[
             int, trio.MemorySendChannel[messages.Grant | messages.Refused]
         ] = {}
 
     def set_pools(self, pools: Iterable[tables.Pool]) -> None:
-        """Put other rows of pools in force."""
+        """Replace the rows of the pools."""
         self._core.set_pools(tuple(pools))
 
     async def acquire(
         self, req: messages.Request, pool: tables.Pool
     ) -> messages.Grant | messages.Refused:
-        """Return a slot, or why there is none; wait a second at most."""
+        """Acquire a slot of a server; wait at most one second for it.
+
+        Args:
+            req: The request.
+            pool: Its pool.
+
+        Returns:
+            The granted slot, or why there is none.
+        """
         ticket = next(self._tickets)
-        send, receive = trio.open_memory_channel[
+        result_sender, result_receiver = trio.open_memory_channel[
             messages.Grant | messages.Refused
         ](1)
-        self._answers[ticket] = send
+        self._result_senders[ticket] = result_sender
         self._handle(node.Acquire(ticket, req))
-        answer: messages.Grant | messages.Refused | None = None
+        result: messages.Grant | messages.Refused | None = None
         try:
-            answer = await receive.receive()
+            result = await result_receiver.receive()
         finally:
-            self._answers.pop(ticket, None)
-            if answer is None:
-                self._abandon(ticket, receive)
-        return answer
+            self._result_senders.pop(ticket, None)
+            if result is None:
+                self._cancel(ticket, result_receiver)
+        return result
 
-    def _abandon(
+    def _cancel(
         self,
         ticket: int,
-        receive: trio.MemoryReceiveChannel[messages.Grant | messages.Refused],
+        result_receiver: trio.MemoryReceiveChannel[
+            messages.Grant | messages.Refused
+        ],
     ) -> None:
-        """Give back what comes for a request that was cancelled meanwhile."""
+        """Cancel a waiting request; release a slot granted in the meantime."""
         self._handle(node.Cancel(ticket))
         try:
-            answer = receive.receive_nowait()
+            result = result_receiver.receive_nowait()
         except trio.WouldBlock:
             return
-        if isinstance(answer, messages.Grant):
-            self.release(answer, messages.AttemptResult("cancelled", 0.0))
+        if isinstance(result, messages.Grant):
+            self.release(result, messages.AttemptResult("cancelled", 0.0))
 
     def release(
-        self, grant: messages.Grant, done: messages.AttemptResult
+        self, grant: messages.Grant, attempt_result: messages.AttemptResult
     ) -> None:
-        """Give a slot back, with how the attempt ended."""
-        self._handle(node.Release(grant, done))
+        """Release a slot and report how its attempt ended."""
+        self._handle(node.Release(grant, attempt_result))
 
     def in_flight(self) -> dict[str, int]:
         """Return the requests under way by server."""
         return self._core.holder.in_flight()
 
     def leave(self) -> None:
-        """Let another entry grant what this one grants."""
+        """Hand over the slots that this entry grants to another grantor."""
         self._handle(node.Leave())
 
     async def run(self) -> None:
-        """Take in messages and pass time."""
+        """Handle messages and ticks until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._tick)
             nursery.start_soon(self._receive)
@@ -99,47 +114,54 @@
             await trio.sleep(TICK_S)
 
     async def _receive(self) -> None:
-        parcel: datagram_wire.Parcel
-        async for parcel in self._spread.parcels:
-            # Comes on a channel of its own.
-            if not isinstance(parcel.message, quarantine.QuarantineUpdate):
-                self._handle(node.Received(parcel.sender, parcel.message))
+        received: datagram_wire.Parcel
+        async for received in self._gossip.parcels:
+            # Quarantine updates have a channel of their own.
+            if not isinstance(received.message, quarantine.QuarantineUpdate):
+                self._handle(node.Received(received.sender, received.message))
 
     def _handle(self, event: node.Event) -> None:
         for effect in self._core.handle(event, trio.current_time()):
-            _carry(effect, self)
+            _execute(effect, self)
 
     def post(self, name: str, message: messages.Message) -> None:
-        """Send a message to an instance."""
-        self._spread.post(name, message)
+        """Send a message to the instance `name`; it may be lost."""
+        self._gossip.post(name, message)
 
     def answer(
         self, ticket: int, result: messages.Grant | messages.Refused
     ) -> None:
-        """Wake the request that waits for a slot."""
-        waiting = self._answers.pop(ticket, None)
-        if waiting is not None:
-            waiting.send_nowait(result)
+        """Pass the result to the request that waits for a slot.
+
+        If the request no longer waits, a granted slot is released.
+
+        Args:
+            ticket: Ticket of the request.
+            result: The slot, or why there is none.
+        """
+        result_sender = self._result_senders.pop(ticket, None)
+        if result_sender is not None:
+            result_sender.send_nowait(result)
         elif isinstance(result, messages.Grant):
             self.release(result, messages.AttemptResult("cancelled", 0.0))
 
 
 @functools.singledispatch
-def _carry(effect: messages.Effect, placement: Placement) -> None:
-    """Carry one effect."""
-    raise TypeError(f"no such effect: {effect!r}")
+def _execute(effect: messages.Effect, placement: Placement) -> None:
+    """Execute an effect of the placement node."""
+    raise TypeError(f"unknown effect: {effect!r}")
 
 
-@_carry.register
+@_execute.register
 def _(effect: messages.Send, placement: Placement) -> None:
     placement.post(effect.to, effect.message)
 
 
-@_carry.register
+@_execute.register
 def _(effect: messages.Answer, placement: Placement) -> None:
     placement.answer(effect.ticket, effect.result)
 
 
-@_carry.register
+@_execute.register
 def _(effect: messages.LogDecision, placement: Placement) -> None:
     logger.info(logs.Event(effect.event, **dict(effect.fields)))
