--- a/hyssopfold/entry/leaving.py
+++ b/hyssopfold/entry/leaving.py
@@ -1,4 +1,4 @@
-"""An entry's planned stop, carried out step by step."""
+"""Executes an entry's planned stop."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -14,72 +14,75 @@
 logger = logging.getLogger(__name__)
 
 PERIOD_S = 0.05
-# Longer than a request takes from any region, once no look-up names us.
+# Idle time after which a connection is closed, once no look-up returns this
+# entry. Longer than a request takes to arrive from any region.
 IDLE_BEFORE_CLOSE_S = 0.5
 
 
 class PlannedStop:
-    """Take an entry out of look-ups and see its requests to their end.
+    """Stop an entry: it leaves the look-ups, then finishes its requests.
 
     Args:
-        steps: Decides when each step is due.
+        stop_state: State machine that decides when each phase begins.
         listener: Connections of callers.
-        spread: Tells the other entries.
-        leave_placement: Gives up granting slots to others, at once.
-        hand_over: Gives what is held here for others to them.
+        gossip_service: Announces to the other entries that this one leaves.
+        leave_placement: Stops granting slots to other entries, without waiting.
+        hand_over: Transfers the claims that this entry holds to other entries.
     """
 
     def __init__(
         self,
-        steps: stop.Stop,
+        stop_state: stop.Stop,
         listener: serving.Listener,
-        spread: gossip.Gossip,
+        gossip_service: gossip.Gossip,
         leave_placement: Callable[[], None],
         hand_over: Callable[[], Awaitable[None]],
     ) -> None:
-        self._steps = steps
+        self._stop = stop_state
         self._listener = listener
-        self._spread = spread
+        self._gossip = gossip_service
         self._leave_placement = leave_placement
         self._hand_over = hand_over
 
     async def run(self) -> None:
-        """Return when nothing is in flight any more, or time is up.
+        """Stop the entry; return when no request is in flight or time is up.
 
-        A stop that turns callers away returns once no more are to be taken.
+        If the stop rejects late callers, return as soon as no more callers are
+        to be accepted; the caller of this method then closes the addresses and
+        lets the remaining requests finish.
         """
-        began = trio.current_time()
-        self._steps.begin(began)
-        self._spread.update_self(state="leaving")
+        began_at = trio.current_time()
+        self._stop.begin(began_at)
+        self._gossip.update_self(state="leaving")
         self._leave_placement()
         self._listener.close_after_answers()
         logger.info(logs.Event("leaving", requests=self._listener.requests))
         handed_over = False
-        while self._steps.phase is not stop.Phase.DONE:
+        while self._stop.phase is not stop.Phase.DONE:
             await trio.sleep(PERIOD_S)
             self._tick(trio.current_time())
-            if self._steps.phase is stop.Phase.DRAINING and not handed_over:
-                # No other entry asks this one any more.
+            if self._stop.phase is stop.Phase.DRAINING and not handed_over:
+                # The other entries no longer ask this one for claims.
                 handed_over = True
                 await self._hand_over()
-                if self._steps.rejects_callers:
-                    # The addresses are closed next, the rest is finished.
+                if self._stop.rejects_callers:
+                    # Next the addresses are closed; requests under way finish.
                     break
-        took = trio.current_time() - began
+        took_s = trio.current_time() - began_at
         logger.info(
-            logs.Event("left", after_s=took, cut=self._steps.cut_requests)
+            logs.Event("left", after_s=took_s, cut=self._stop.cut_requests)
         )
 
     def _tick(self, now: float) -> None:
-        before = self._steps.phase
-        seen = stop.Observed(
+        previous_phase = self._stop.phase
+        observed = stop.Observed(
             self._listener.connections, self._listener.requests
         )
-        after = self._steps.tick(seen, now)
-        if after is not before:
-            fields = seen._asdict()
-            logger.info(logs.Event("stop-phase", phase=after.value, **fields))
-        if after is stop.Phase.DRAINING:
+        phase = self._stop.tick(observed, now)
+        if phase is not previous_phase:
+            fields = observed._asdict()
+            logger.info(logs.Event("stop-phase", phase=phase.value, **fields))
+        if phase is stop.Phase.DRAINING:
             self._listener.close_idle(IDLE_BEFORE_CLOSE_S, now)
-        if self._steps.cut_requests:
+        if self._stop.cut_requests:
             self._listener.cut("stop_max_s is over")
--- a/hyssopfold/entry/lookups.py
+++ b/hyssopfold/entry/lookups.py
@@ -1,4 +1,4 @@
-"""Answers to look-ups: which entries a caller should use."""
+"""Answers look-ups: which entries a caller should use."""
 
 from collections.abc import Mapping
 import logging
@@ -18,31 +18,37 @@
 
 logger = logging.getLogger(__name__)
 
-# How old the arrangement of the entries may be, in seconds; an entry that
-# stops may be named for so long after its word has come.
+# Greatest age of the index of entries in seconds. Answers may contain an entry
+# that stops for that long after its announcement has arrived.
 MAX_INDEX_AGE_S = 0.25
-# Callers take no more addresses than this.
+# Callers accept no more addresses than this.
 MAX_ENTRIES = 64
 _REQUEST_KEY = "lookup "
 
 
 class RegionEntries(NamedTuple):
-    """Entries of the nearest region that has any, and how long that holds."""
+    """Entries of the nearest region that has any.
+
+    Attributes:
+        entries: The entries, at most `MAX_ENTRIES`.
+        ttl_s: Seconds for which a caller may cache them.
+    """
 
     entries: list[messages.Instance]
     ttl_s: float
 
 
 class Lookups:
-    """Name entries to callers.
+    """Answer the look-ups of callers, which ask for entries to connect to.
 
     Args:
         region: Region of this entry.
-        delays_ms: One-way delay to each other region.
-        usual_ttl_s: Seconds that callers may cache an answer.
+        delays_ms: One-way delay to each other region in milliseconds.
+        usual_ttl_s: Seconds for which callers may cache an answer when no
+            change is in progress.
         config: Source of the tables in force.
-        spread: Directory of the entries.
-        steer: Shares in force and the regions of clients.
+        gossip_service: Returns the live instances.
+        steer: Traffic shares in force and the home regions of clients.
     """
 
     def __init__(
@@ -51,43 +57,55 @@
         delays_ms: Mapping[str, float],
         usual_ttl_s: float,
         config: configuration.Configuration,
-        spread: gossip.Gossip,
+        gossip_service: gossip.Gossip,
         steer: steering.Steering,
     ) -> None:
         self._region = region
         self._delays_ms = delays_ms
         self._usual_ttl_s = usual_ttl_s
         self._config = config
-        self._spread = spread
+        self._gossip = gossip_service
         self._steering = steer
         self._index = lookup.EntryIndex()
-        self._arranged_at = -MAX_INDEX_AGE_S
-        self._regions: tuple[str, ...] = ()
+        self._updated_at = -MAX_INDEX_AGE_S
+        self._regions_by_delay: tuple[str, ...] = ()
 
     def answer(self, scope: http.Scope) -> http.Answer:
-        """Return the answer to a look-up."""
+        """Answer a look-up.
+
+        The query parameters `client`, `host` and `path` are the caller's
+        address and the host and path that it wants to reach; all of them are
+        optional.
+
+        Args:
+            scope: The ASGI scope of the look-up.
+
+        Returns:
+            A JSON answer with the entries, best first, the seconds for which
+            it may be cached, and the revision in force.
+        """
         query = urllib.parse.parse_qs(scope["query_string"].decode("latin-1"))
         client = query.get("client", [""])[0]
         host = query.get("host", [""])[0]
         path = query.get("path", [""])[0]
-        self._arrange()
+        self._update_index()
         snapshot = self._config.snapshot
         route = snapshot.router.match(host, path, None) if path else None
         home = self._steering.home_region_of(client)
-        order: tuple[str, ...] = (home or self._region,)
+        preferred: tuple[str, ...] = (home or self._region,)
         reason = "nearest"
         changing = self._index.is_changing
         if route is not None:
             changing = changing or self._steering.is_moving(route.pool)
             if home is not None:
-                # The caller's home is known wherever it asks, so an answer
-                # may follow the shares: its requests are steered alike by
-                # whichever entry gets them.
+                # Every entry knows the caller's home region and steers its
+                # requests in the same way, so the answer may depend on the
+                # traffic shares.
                 key = _REQUEST_KEY + client
                 decision = self._steering.decide(route, key, client)
-                order = (decision.regions[0].name, home)
+                preferred = (decision.regions[0].name, home)
                 reason = decision.reason
-        entries = self._index.rank(client, self._preferred(order))
+        entries = self._index.rank(client, self._region_order(preferred))
         ttl_s = lookup.ttl_s(self._usual_ttl_s, changing)
         if logger.isEnabledFor(logging.INFO):
             logger.info(
@@ -101,7 +119,7 @@
                     revision=snapshot.revision,
                 )
             )
-        named = [
+        rows = [
             {
                 "address": entry.address,
                 "region": entry.region,
@@ -113,30 +131,40 @@
             {
                 "revision": snapshot.revision,
                 "ttl_s": ttl_s,
-                "entries": named,
+                "entries": rows,
             }
         )
 
     def entries_near(self, region: str) -> RegionEntries:
-        """Return all entries of a region, or of the next that has any.
+        """Return the entries of a region, or of the nearest that has any.
+
+        A caller spreads its connections over all of them, so that the loss of
+        an entry costs it one connection and not all.
 
-        A caller spreads its connections over all of them, so one that is lost
-        costs it one connection and not its only entry.
+        Args:
+            region: The region to begin with.
+
+        Returns:
+            The entries, and the seconds for which they may be cached.
         """
-        self._arrange()
-        entries = self._index.in_first_region(self._preferred((region,)))
+        self._update_index()
+        entries = self._index.in_first_region(self._region_order((region,)))
         ttl_s = lookup.ttl_s(self._usual_ttl_s, self._index.is_changing)
         return RegionEntries(entries[:MAX_ENTRIES], ttl_s)
 
-    def _arrange(self) -> None:
+    def _update_index(self) -> None:
         now = trio.current_time()
-        if now - self._arranged_at < MAX_INDEX_AGE_S:
+        if now - self._updated_at < MAX_INDEX_AGE_S:
             return
-        self._arranged_at = now
-        instances = self._spread.live_instances()
+        self._updated_at = now
+        instances = self._gossip.live_instances()
         self._index.update(instances)
-        known = {one.region for one in instances} | {self._region}
-        self._regions = regions.by_delay(self._region, known, self._delays_ms)
+        region_names = {instance.region for instance in instances} | {
+            self._region
+        }
+        self._regions_by_delay = regions.by_delay(
+            self._region, region_names, self._delays_ms
+        )
 
-    def _preferred(self, first: tuple[str, ...]) -> tuple[str, ...]:
-        return tuple(dict.fromkeys((*first, *self._regions)))
+    def _region_order(self, preferred: tuple[str, ...]) -> tuple[str, ...]:
+        return tuple(dict.fromkeys((*preferred, *self._regions_by_delay)))
--- a/hyssopfold/entry/steering.py
+++ b/hyssopfold/entry/steering.py
@@ -1,4 +1,4 @@
-"""The task that steps an entry's shares, and the look into them per request."""
+"""Steering at an entry: updates its traffic shares and applies them."""
 
 from collections import defaultdict
 from collections.abc import Awaitable
@@ -24,14 +24,17 @@
 
 
 class Steering:
-    """Say where each request may go.
+    """Decide which regions may serve each request of this entry.
 
     Args:
         region: Region of this entry.
-        delays_ms: One-way delay to each other region.
+        delays_ms: One-way delay to each other region in milliseconds.
         config: Source of the tables in force.
-        known: Directory of the servers.
-        clients: Regions of client blocks.
+        member_directory: Directory of the servers.
+        client_regions: Home regions of the client blocks.
+
+    Attributes:
+        shares: The traffic shares in force at this entry.
     """
 
     def __init__(
@@ -39,34 +42,35 @@
         region: str,
         delays_ms: Mapping[str, float],
         config: configuration.Configuration,
-        known: directory.Directory,
-        clients: blocks.ClientBlocks,
+        member_directory: directory.Directory,
+        client_regions: blocks.ClientBlocks,
     ) -> None:
         self.shares = shares.TrafficShares()
         self._region = region
         self._delays_ms = delays_ms
         self._config = config
-        self._directory = known
-        self._blocks = clients
+        self._directory = member_directory
+        self._client_regions = client_regions
         self._revision = 0
-        self._places: dict[str, regions.SteeringContext] = {}
+        self._contexts: dict[str, regions.SteeringContext] = {}
 
     async def run(
-        self, catch_up: Callable[[shares.TrafficShares], Awaitable[None]]
+        self, adopt_shares: Callable[[shares.TrafficShares], Awaitable[None]]
     ) -> None:
-        """Step the shares for as long as the entry runs.
+        """Step the shares until cancelled.
 
         Args:
-            catch_up: Takes over the shares of a running entry.
+            adopt_shares: Takes over the shares of a running entry; called when
+                the shares were not stepped for too long.
         """
         while True:
             if self.shares.is_stale(trio.current_time()):
-                await catch_up(self.shares)
+                await adopt_shares(self.shares)
             self.step(trio.current_time(), time.time())
             await trio.sleep(PERIOD_S)
 
     def step(self, now: float, utc_s: float) -> None:
-        """Follow the revision in force and who is there.
+        """Update the shares by the revision in force and the ready servers.
 
         Args:
             now: Monotonic time in seconds.
@@ -75,9 +79,9 @@
         self._install(now, utc_s)
         ready = {}
         for pool in self._config.snapshot.tables.pools:
-            place = self._look_around(pool.name)
-            self._places[pool.name] = place
-            ready[pool.name] = frozenset(place.regions_by_delay)
+            ctx = self._make_context(pool.name)
+            self._contexts[pool.name] = ctx
+            ready[pool.name] = frozenset(ctx.regions_by_delay)
         for change in self.shares.step(now, utc_s, ready):
             logger.info(
                 logs.Event(
@@ -99,19 +103,21 @@
             self._revision = snapshot.revision
             self.shares.install(snapshot.state, now, utc_s)
 
-    def _look_around(self, pool: str) -> regions.SteeringContext:
+    def _make_context(self, pool: str) -> regions.SteeringContext:
         domains: dict[str, set[str]] = defaultdict(set)
         for server in self._directory.ready_servers(pool):
             domains[server.region].add(server.failure_domain)
-        near = regions.by_delay(self._region, domains, self._delays_ms)
-        return regions.SteeringContext(self._region, near, domains)
+        regions_by_delay = regions.by_delay(
+            self._region, domains, self._delays_ms
+        )
+        return regions.SteeringContext(self._region, regions_by_delay, domains)
 
     def home_region_of(self, client: str) -> str | None:
-        """Return the region at home for a client's address, if known."""
-        return self._blocks.region_of(client) if client else None
+        """Return the home region of a client's address, None if unknown."""
+        return self._client_regions.region_of(client) if client else None
 
     def is_moving(self, pool: str) -> bool:
-        """Return whether a shift of the pool is under way here."""
+        """Return whether a shift of the pool is in progress at this entry."""
         return self.shares.is_moving(pool)
 
     def decide(
@@ -121,33 +127,39 @@
         client: str,
         pool: str = "",
     ) -> regions.Decision:
-        """Return where a request may go, best first.
+        """Return the regions that may serve a request, best first.
 
-        A caller's home goes by its own address, where that is known, and not
-        by the entry it happens to use: a cached look-up, or an entry that
-        stops, moves no traffic between regions.
+        A caller's home region depends on its own address, if that is known,
+        and not on the entry that it uses. Therefore neither a cached look-up
+        nor the stop of an entry moves traffic between regions.
 
         Args:
             route: The request's route.
-            request_id: Its id, which draws its place in the shares.
+            request_id: The request's id; its hash selects a part of the shares.
             client: The caller's address.
-            pool: The pool that serves it, when not the route's own.
+            pool: The pool that serves the request, if not the route's own.
         """
         if self._config.snapshot.revision != self._revision:
             self._install(trio.current_time(), time.time())
         pool = pool or route.pool
-        place = self._places.get(pool)
-        if place is None:
-            place = self._look_around(pool)
+        ctx = self._contexts.get(pool)
+        if ctx is None:
+            ctx = self._make_context(pool)
         home = self.home_region_of(client)
-        if home is not None and home != place.home_region:
-            place = place._replace(home_region=home)
-        return self.shares.decide(route, place, request_id, pool)
+        if home is not None and home != ctx.home_region:
+            ctx = ctx._replace(home_region=home)
+        return self.shares.decide(route, ctx, request_id, pool)
 
     def record_server(
         self, pool: str, decision: regions.Decision, server: messages.Server
     ) -> None:
-        """Take in which server got a request that `decide` steered."""
+        """Record which server got a request that `decide` steered.
+
+        Args:
+            pool: Name of the pool that served the request.
+            decision: What `decide` returned for the request.
+            server: The server.
+        """
         if decision.shifted:
             region, domain = server.region, server.failure_domain
             self.shares.record_outcome(pool, decision, region, domain)
