--- a/hyssopfold/entry/claims.py
+++ b/hyssopfold/entry/claims.py
@@ -1,4 +1,8 @@
-"""Claims on idempotency keys, asked of the entries that hold them."""
+"""Claims on idempotency keys: requests them from the entries that hold them.
+
+Each entry is also a holder: it answers the requests of other entries for the
+claims in its own table.
+"""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -24,57 +28,69 @@
 CALL_TIMEOUT_S = 0.5
 SETTLE_ATTEMPTS = 3
 MAX_KEY_BYTES = 255
-_QUEUE = 1_000
-_BATCH = 500
+_QUEUE_SIZE = 1_000
+_BATCH_SIZE = 500
 
 
-class _Settling(NamedTuple):
+class _Settlement(NamedTuple):
     holders: tuple[str, ...]
     settle: claims.Settle
 
 
 class GrantedClaim(NamedTuple):
-    """A claim that was granted to a request."""
+    """A claim granted to a request, and the names of its holders."""
 
     claim_id: bytes
     holders: tuple[str, ...]
 
 
 class Claims:
-    """Ask for claims, settle them, and hold those of others.
+    """Request and settle claims at the holders, and hold claims of others.
+
+    The proxy of an entry uses it for requests with an idempotency key.
 
     Args:
-        myself: Gives this entry's own word.
-        known: Directory of the entries.
-        peers: Makes a client to another entry.
-        table: The claims held here.
+        own_record: Returns this entry's own record.
+        member_directory: Directory of the entries.
+        peers: Creates clients of other entries.
+        table: The claims that this entry holds.
     """
 
     def __init__(
         self,
-        myself: Callable[[], messages.Instance],
-        known: directory.Directory,
+        own_record: Callable[[], messages.Instance],
+        member_directory: directory.Directory,
         peers: rpc.Clients,
         table: claims.ClaimTable,
     ) -> None:
-        self._myself = myself
-        self._directory = known
+        self._own_record = own_record
+        self._directory = member_directory
         self._peers = peers
         self._table = table
-        self._inbox, self._settlings = trio.open_memory_channel[_Settling](
-            _QUEUE
+        self._settlement_sender, self._settlement_receiver = (
+            trio.open_memory_channel[_Settlement](_QUEUE_SIZE)
         )
 
     async def claim(
         self, exchange: exchange_module.Exchange
     ) -> GrantedClaim | http.Refusal:
-        """Return the claim on a request's key, or why it may not run."""
+        """Request the claim on a request's idempotency key.
+
+        Args:
+            exchange: The request.
+
+        Returns:
+            The granted claim, or the refusal to answer if the request must not
+            run.
+        """
         key = exchange.header(b"idempotency-key") or b""
         if not 0 < len(key) <= MAX_KEY_BYTES:
             remedy = f"send a key of 1 to {MAX_KEY_BYTES} bytes"
             return http.Refusal(400, "bad-key", "not-run", remedy, 0)
         ask = claims.Ask(
-            _digest(exchange, key), _fingerprint(exchange), exchange.request_id
+            _claim_id(exchange, key),
+            _fingerprint(exchange),
+            exchange.request_id,
         )
         granted, verdict = await self._ask_all(ask)
         if verdict.kind is claims.VerdictKind.GRANTED:
@@ -92,24 +108,32 @@
     async def _ask_all(
         self, ask: claims.Ask
     ) -> tuple[tuple[str, ...], claims.Verdict]:
-        """Ask the first two holders; one that is lost may be replaced.
+        """Request a claim from its first two holders.
+
+        If one of them cannot be reached, the entry that ranks next replaces
+        it. If neither can be reached, the claim may be held by both without
+        any other entry knowing of it, so it is not granted.
 
-        With two lost there may be a claim that nobody reachable knows.
+        Args:
+            ask: The request for the claim.
+
+        Returns:
+            The names of the holders that granted it, and the verdict of all.
         """
-        ranked = claims.rank_holders(ask.claim_id, self._names())
-        first = ranked[: claims.HOLDERS]
-        verdicts = await self._ask_each(first, ask)
-        lost = [name for name in first if name not in verdicts]
-        if len(lost) == len(first):
+        ranked = claims.rank_holders(ask.claim_id, self._holder_names())
+        holders = ranked[: claims.HOLDERS]
+        verdicts = await self._ask_each(holders, ask)
+        unreachable = [name for name in holders if name not in verdicts]
+        if len(unreachable) == len(holders):
             return (), claims.Verdict(claims.VerdictKind.UNREACHABLE)
-        if lost and len(ranked) > claims.HOLDERS:
-            spare = ranked[claims.HOLDERS : claims.HOLDERS + 1]
-            found = await self._ask_each(spare, ask)
-            if not found:
-                verdicts[spare[0]] = claims.Verdict(
+        if unreachable and len(ranked) > claims.HOLDERS:
+            replacement = ranked[claims.HOLDERS : claims.HOLDERS + 1]
+            more_verdicts = await self._ask_each(replacement, ask)
+            if not more_verdicts:
+                verdicts[replacement[0]] = claims.Verdict(
                     claims.VerdictKind.UNREACHABLE
                 )
-            verdicts |= found
+            verdicts |= more_verdicts
         granted = tuple(
             name
             for name, verdict in verdicts.items()
@@ -122,7 +146,7 @@
     ) -> dict[str, claims.Verdict]:
         verdicts: dict[str, claims.Verdict] = {}
 
-        async def one(name: str) -> None:
+        async def ask_holder(name: str) -> None:
             try:
                 verdicts[name] = await self._call(name, claims_wire.ASK, ask)
             except errors.PeerUnavailableError as exc:
@@ -132,47 +156,47 @@
 
         async with trio.open_nursery() as nursery:
             for name in names:
-                nursery.start_soon(one, name)
+                nursery.start_soon(ask_holder, name)
         return verdicts
 
     def settle(
-        self, held: GrantedClaim, request_id: str, outcome: str, status: int
+        self, granted: GrantedClaim, request_id: str, outcome: str, status: int
     ) -> None:
-        """Tell the holders what became of a request, without waiting.
+        """Report the outcome of a request to its holders, without waiting.
 
         Args:
-            held: Its claim.
-            request_id: Its id.
-            outcome: `answered`, `not-run`, or anything else for unknown.
-            status: Status of the answer.
+            granted: The claim that the request was granted.
+            request_id: The request's id.
+            outcome: `answered` or `not-run`; any other value means unknown.
+            status: HTTP status of the answer.
         """
         states = {
             "answered": claims.ClaimState.ANSWERED,
             "not-run": claims.ClaimState.NOT_RUN,
         }
         state = states.get(outcome, claims.ClaimState.UNKNOWN)
-        settle = claims.Settle(held.claim_id, request_id, state, status)
-        self._send(_Settling(held.holders, settle))
+        settle = claims.Settle(granted.claim_id, request_id, state, status)
+        self._send(_Settlement(granted.holders, settle))
 
     def _release(self, ask: claims.Ask, granted: tuple[str, ...]) -> None:
         not_run = claims.ClaimState.NOT_RUN
         settle = claims.Settle(ask.claim_id, ask.request_id, not_run, 0)
         if granted:
-            self._send(_Settling(granted, settle))
+            self._send(_Settlement(granted, settle))
 
-    def _send(self, settling: _Settling) -> None:
+    def _send(self, settlement: _Settlement) -> None:
         try:
-            self._inbox.send_nowait(settling)
+            self._settlement_sender.send_nowait(settlement)
         except trio.WouldBlock:
-            # The claim stays `running` until it expires: a resend is refused
-            # as unknown, which is safe.
+            # The claim stays `running` until it expires. Until then a resend
+            # is refused with the outcome unknown, which is safe.
             logger.warning(logs.Event("claim-not-settled", reason="queue full"))
 
     async def run(self) -> None:
-        """Settle claims for as long as the entry runs."""
-        async for settling in self._settlings:
-            for name in settling.holders:
-                await self._settle_at(name, settling.settle)
+        """Send settlements to the holders until cancelled."""
+        async for settlement in self._settlement_receiver:
+            for name in settlement.holders:
+                await self._settle_at(name, settlement.settle)
 
     async def _settle_at(self, name: str, settle: claims.Settle) -> None:
         for _ in range(SETTLE_ATTEMPTS):
@@ -184,16 +208,16 @@
         logger.warning(logs.Event("claim-not-settled", holder=name))
 
     async def _call(self, name: str, method: rpc.Method, req: Any) -> Any:
-        if name == self._myself().name:
+        if name == self._own_record().name:
             return await self.handlers()[method](req)
         entry = self._directory.instances.get(name)
         if entry is None:
-            raise errors.PeerUnavailableError(name, "it is gone")
+            raise errors.PeerUnavailableError(name, "it has left the directory")
         client = self._peers.to(entry.rpc_address)
         return await client.call(method, req, CALL_TIMEOUT_S)
 
     def handlers(self) -> dict[rpc.Method, rpc.Handler]:
-        """Return what other entries may call."""
+        """Return the handlers of the calls of other entries, by method."""
         return {
             claims_wire.ASK: self._on_ask,
             claims_wire.SETTLE: self._on_settle,
@@ -214,17 +238,23 @@
         return claims_wire.Done()
 
     async def hand_over(self) -> None:
-        """Give the claims held here to the entries that rank next."""
-        names = [name for name in self._names() if name != self._myself().name]
-        for_holder: dict[str, list[claims.Claim]] = defaultdict(list)
+        """Transfer the claims of this entry to the entries that rank next."""
+        names = [
+            name
+            for name in self._holder_names()
+            if name != self._own_record().name
+        ]
+        claims_by_holder: dict[str, list[claims.Claim]] = defaultdict(list)
         for claim in self._table.claims():
             for name in claims.rank_holders(claim.claim_id, names)[
                 : claims.HOLDERS
             ]:
-                for_holder[name].append(claim)
-        for name, held in for_holder.items():
-            for at in range(0, len(held), _BATCH):
-                batch = claims_wire.Handover(tuple(held[at : at + _BATCH]))
+                claims_by_holder[name].append(claim)
+        for name, handed_over in claims_by_holder.items():
+            for start in range(0, len(handed_over), _BATCH_SIZE):
+                batch = claims_wire.Handover(
+                    tuple(handed_over[start : start + _BATCH_SIZE])
+                )
                 try:
                     await self._call(name, claims_wire.TAKE, batch)
                 except errors.PeerUnavailableError as exc:
@@ -232,9 +262,9 @@
                         logs.Event("claims-not-handed-over", to=name, error=exc)
                     )
 
-    def _names(self) -> set[str]:
-        """Return the entries of this region that may hold claims."""
-        me = self._myself()
+    def _holder_names(self) -> set[str]:
+        """Return the entries of this region that may hold claims, by name."""
+        me = self._own_record()
         others = {
             entry.name
             for entry in self._directory.ready_entries()
@@ -245,8 +275,12 @@
         return others | {me.name}
 
 
-def _digest(exchange: exchange_module.Exchange, key: bytes) -> bytes:
-    """Return the claim's id: two callers may use the same key."""
+def _claim_id(exchange: exchange_module.Exchange, key: bytes) -> bytes:
+    """Return the id of the claim on a key.
+
+    It covers the host and the credentials, because two callers may use the same
+    key.
+    """
     parts = [exchange.host.encode("latin-1"), key]
     parts += [
         exchange.header(name) or b"" for name in fingerprints.CREDENTIAL_HEADERS
@@ -261,31 +295,31 @@
     )
 
 
-_WAIT_S = 1.0
+_RETRY_AFTER_S = 1.0
 _REFUSALS = {
     claims.VerdictKind.RUNNING: (
         409,
         "unknown",
-        "wait: the first request with this key is still under way",
+        "wait: the first request with this key is still running",
     ),
     claims.VerdictKind.ANSWERED: (
         409,
         "unknown",
-        "look at the effect of the first request with this key, which was"
+        "check the effect of the first request with this key, which was"
         " answered with status {status}",
     ),
     claims.VerdictKind.UNKNOWN: (
         409,
         "unknown",
-        "look whether the first request with this key took effect",
+        "check whether the first request with this key took effect",
     ),
     claims.VerdictKind.OTHER_REQUEST: (
         422,
         "not-run",
         "use a new key: this one belongs to a different request",
     ),
-    claims.VerdictKind.FULL: (503, "not-run", "ask again later"),
-    claims.VerdictKind.UNREACHABLE: (503, "not-run", "ask again later"),
+    claims.VerdictKind.FULL: (503, "not-run", "retry later"),
+    claims.VerdictKind.UNREACHABLE: (503, "not-run", "retry later"),
 }
 
 
@@ -293,4 +327,4 @@
     status, outcome, remedy = _REFUSALS[verdict.kind]
     error = f"key-{verdict.kind.value}"
     remedy = remedy.format(status=verdict.status)
-    return http.Refusal(status, error, outcome, remedy, _WAIT_S)
+    return http.Refusal(status, error, outcome, remedy, _RETRY_AFTER_S)
--- a/hyssopfold/entry/crash_checks.py
+++ b/hyssopfold/entry/crash_checks.py
@@ -1,7 +1,7 @@
-"""Whether a server crashed when the connection of a request to it broke.
+"""Checks whether a server crashed when the connection of a request broke.
 
-A server that lost one answer accepts the next connection; one that crashed
-refuses it until it has started again.
+A server that lost a single answer accepts the next connection. A server that
+crashed refuses connections until it has restarted.
 """
 
 import logging
@@ -17,11 +17,11 @@
 
 logger = logging.getLogger(__name__)
 
-_QUEUE = 1_000
+_QUEUE_SIZE = 1_000
 
 
 class BrokenAttempt(NamedTuple):
-    """A request whose connection broke when its server might run it."""
+    """An attempt whose connection broke when the server might be running it."""
 
     server: messages.Server
     fingerprint: bytes
@@ -29,61 +29,61 @@
 
 
 class CrashRecorder(Protocol):
-    """What keeps count of crashes."""
+    """Records the crashes of servers, by the fingerprint of the request."""
 
     def crashed(self, server: messages.Server, fingerprint: bytes) -> None:
-        """Take in that a server crashed under a request."""
+        """Record that a server crashed while it ran a request."""
 
 
 class CrashChecks:
-    """Ask servers for a new connection after one of them broke.
+    """Check servers by a new connection after a connection to them broke.
 
     Args:
-        connected: Opens the connections.
-        reports: Told of each crash, and of the request under it.
+        connection_pool: Opens the connections.
+        recorder: Records each crash with the fingerprint of the request.
         meter: Counts the crashes.
     """
 
     def __init__(
         self,
-        connected: connections.Pool,
-        reports: CrashRecorder,
+        connection_pool: connections.Pool,
+        recorder: CrashRecorder,
         meter: metrics.Metrics,
     ) -> None:
-        self._connected = connected
-        self._reports = reports
+        self._connections = connection_pool
+        self._recorder = recorder
         self._meter = meter
-        self._inbox, self._broken = trio.open_memory_channel[BrokenAttempt](
-            _QUEUE
-        )
+        self._attempt_sender, self._attempt_receiver = trio.open_memory_channel[
+            BrokenAttempt
+        ](_QUEUE_SIZE)
 
-    def schedule_check(self, broken: BrokenAttempt) -> None:
-        """Check the server of a broken connection soon, without waiting."""
+    def schedule_check(self, attempt: BrokenAttempt) -> None:
+        """Schedule a check of an attempt's server, without waiting for it."""
         try:
-            self._inbox.send_nowait(broken)
+            self._attempt_sender.send_nowait(attempt)
         except trio.WouldBlock:
             logger.warning(
-                logs.Event("crash-check-dropped", request=broken.request_id)
+                logs.Event("crash-check-dropped", request=attempt.request_id)
             )
 
     async def run(self) -> None:
-        """Check servers, all at the same time."""
+        """Check servers concurrently until cancelled."""
         async with trio.open_nursery() as nursery:
-            async for broken in self._broken:
-                nursery.start_soon(self._check, broken)
+            async for attempt in self._attempt_receiver:
+                nursery.start_soon(self._check, attempt)
 
-    async def _check(self, broken: BrokenAttempt) -> None:
-        server = broken.server
-        if not await self._connected.refuses(server.address):
+    async def _check(self, attempt: BrokenAttempt) -> None:
+        server = attempt.server
+        if not await self._connections.refuses(server.address):
             return
         self._meter.crashes.inc({"pool": server.pool})
         logger.warning(
             logs.Event(
                 "server-crashed",
-                request=broken.request_id,
-                fingerprint=broken.fingerprint.hex(),
+                request=attempt.request_id,
+                fingerprint=attempt.fingerprint.hex(),
                 server=server.server_id,
                 pool=server.pool,
             )
         )
-        self._reports.crashed(server, broken.fingerprint)
+        self._recorder.crashed(server, attempt.fingerprint)
