--- a/hyssopfold/entry/configuration.py
+++ b/hyssopfold/entry/configuration.py
@@ -1,4 +1,4 @@
-"""The task that keeps an entry's tables at the newest revision."""
+"""Keeps an entry's tables at the newest revision."""
 
 import functools
 import logging
@@ -21,15 +21,17 @@
 
 logger = logging.getLogger(__name__)
 
-_QUEUE = 64
+_QUEUE_SIZE = 64
 
 
 class Snapshot:
-    """State of one revision; a request uses one snapshot throughout.
+    """The replicated state of one revision, prepared for requests.
+
+    Each request uses a single snapshot from its beginning to its end.
 
     Args:
-        revision: Revision of the state.
-        replicated_state: The state.
+        revision: Number of the revision.
+        replicated_state: The state at this revision.
     """
 
     def __init__(self, revision: int, replicated_state: state.State) -> None:
@@ -41,7 +43,7 @@
 
 
 def decode_error(value: bytes) -> str:
-    """Return why this program cannot read a value, or "" when it can."""
+    """Return why this program cannot decode a value, or "" if it can."""
     try:
         state.decode(value)
     except errors.InvalidDocumentError as exc:
@@ -50,15 +52,19 @@
 
 
 class Configuration:
-    """Carry a follower's effects: questions, installs, log lines.
+    """Follow the revisions of the tables and keep a snapshot of the newest.
+
+    It feeds events to a follower, which decides, and executes the effects: it
+    polls other instances, installs revisions and logs reports. The parts of an
+    entry read the tables in force from its snapshot.
 
     Args:
         name: Name of this entry.
-        control: Clients to the control instances.
-        peers: Makes a client to another entry.
-        rng: Source of the order in which instances are asked.
+        control: Clients of the control instances.
+        peers: Creates clients of other entries.
+        rng: Draws the order in which instances are polled.
         ways: Ways by which revisions are learned.
-        timing: Seconds between questions.
+        timing: Seconds between polls.
         knows_all: Whether `control` are all control instances there are.
     """
 
@@ -78,60 +84,70 @@
         self._follower = follower.Follower(
             list(self._control), rng, ways, timing, decode_error, knows_all
         )
-        self._inbox, self._events = trio.open_memory_channel[messages.Event](
-            _QUEUE
-        )
+        self._event_sender, self._event_receiver = trio.open_memory_channel[
+            messages.Event
+        ](_QUEUE_SIZE)
         self.snapshot = Snapshot(0, state.State())
         self.publisher = publisher.Publisher(history.History(), self.age_s)
 
     def age_s(self, now: float) -> float:
-        """Return the seconds since a majority confirmed the revision.
+        """Return the age of the last confirmation of the revision in force.
+
+        Args:
+            now: Monotonic time in seconds.
 
-        Infinite when none ever did.
+        Returns:
+            Seconds since a majority of control confirmed it; infinite if none
+            ever did.
         """
         age = self._follower.age_s(now)
         return age if age < messages.NEVER_S / 2 else math.inf
 
     @property
     def is_behind(self) -> bool:
-        """Return whether a newer revision is known of than is in force."""
+        """Return whether a newer revision than the one in force exists."""
         return self._follower.is_behind
 
     def set_control(self, addresses: list[str]) -> None:
-        """Ask the control instances at these addresses from now on."""
+        """Poll the control instances at these addresses from now on."""
         self._follower.set_control(addresses)
 
     def record_revision(self, source: str, revision: int) -> None:
-        """Take note that `source` has `revision` in force.
+        """Record that the instance at `source` has `revision` in force.
 
-        Cheap enough for each message: all but a higher revision ends here.
+        Called for each message received, and therefore cheap: only a revision
+        above the highest known one is passed to the follower.
+
+        Args:
+            source: RPC address of the instance, empty if it has none.
+            revision: The revision.
         """
         if revision <= self._follower.wanted:
             return
         try:
-            self._inbox.send_nowait(messages.Heard(source, revision))
+            self._event_sender.send_nowait(messages.Heard(source, revision))
         except trio.WouldBlock:
-            # The next message of anyone tells the same.
+            # The next message of any instance reports the revision again.
             logger.debug(logs.Event("hint-dropped", revision=revision))
 
     async def run(self) -> None:
-        """Ask for newer revisions for as long as the entry runs."""
+        """Poll for newer revisions until cancelled."""
         async with trio.open_nursery() as nursery:
             event: messages.Event = messages.Tick()
             while True:
                 now = trio.current_time()
                 for effect in self._follower.handle(event, now):
-                    _carry(effect, self, nursery)
+                    _execute(effect, self, nursery)
                 event = await self._next_event()
 
     async def _next_event(self) -> messages.Event:
-        due = self._follower.next_deadline() - trio.current_time()
-        with trio.move_on_after(max(0.0, due)):
-            return await self._events.receive()
+        wait_s = self._follower.next_deadline() - trio.current_time()
+        with trio.move_on_after(max(0.0, wait_s)):
+            return await self._event_receiver.receive()
         return messages.Tick()
 
     async def poll(self, effect: messages.Ask) -> None:
-        """Ask one instance and take its answer in."""
+        """Poll an instance and pass its answer to the follower."""
         event: messages.Event
         client = self._control.get(effect.source)
         if client is None:
@@ -149,10 +165,15 @@
         except errors.PeerUnavailableError as exc:
             logger.debug(logs.Event("poll-failed", to=effect.source, error=exc))
             event = messages.Failed(effect.call)
-        await self._inbox.send(event)
+        await self._event_sender.send(event)
 
     def install(self, revision: int, encoded: bytes) -> None:
-        """Put a revision in force for all requests that begin from now on."""
+        """Put a revision in force for all requests that begin from now on.
+
+        Args:
+            revision: Number of the revision, above the one in force.
+            encoded: The encoded state.
+        """
         assert revision > self.snapshot.revision, "a revision only goes up"
         self.snapshot = Snapshot(revision, state.decode(encoded))
         self.publisher.publish(revision, encoded)
@@ -160,29 +181,29 @@
 
 
 _REMEDIES = {
-    "unreadable": "upgrade this instance; it serves by the revision it has",
-    "diverged": "two instances hold other bytes at one revision; report it",
-    "mismatch": "none; the whole value is asked for",
-    "not-found": "none; another message will tell of it again",
+    "unreadable": "upgrade this instance; it keeps its present revision",
+    "diverged": "two instances have different bytes at one revision; report it",
+    "mismatch": "none; the whole value is requested",
+    "not-found": "none; a later message will report the revision again",
 }
 
 
 @functools.singledispatch
-def _carry(
+def _execute(
     effect: Any, configuration: Configuration, nursery: trio.Nursery
 ) -> None:
-    """Carry one effect of the follower."""
-    raise TypeError(f"no such effect: {effect!r}")
+    """Execute an effect of the follower."""
+    raise TypeError(f"unknown effect: {effect!r}")
 
 
-@_carry.register
+@_execute.register
 def _(
     effect: messages.Ask, configuration: Configuration, nursery: trio.Nursery
 ) -> None:
     nursery.start_soon(configuration.poll, effect)
 
 
-@_carry.register
+@_execute.register
 def _(
     effect: messages.Install,
     configuration: Configuration,
@@ -191,7 +212,7 @@
     configuration.install(effect.revision, effect.value)
 
 
-@_carry.register
+@_execute.register
 def _(
     effect: messages.Report,
     configuration: Configuration,
