--- a/hyssopfold/entry/adoption.py
+++ b/hyssopfold/entry/adoption.py
@@ -1,4 +1,4 @@
-"""A starting entry asks running ones for the shares in force."""
+"""Adopts the traffic shares in force from a running entry."""
 
 import logging
 from typing import Any
@@ -17,47 +17,54 @@
 
 PATH = "/hyssop/v1/status"
 MAX_PEERS = 3
-# Others announce themselves each period; an entry alone waits no longer.
+# Other entries announce themselves once a gossip period, so an entry that has
+# received no announcement by then is the only one.
 DISCOVERY_TIMEOUT_S = gossip.PERIOD_S * 1.2
-_ASK_TIMEOUT_S = 1.0
-_PERIOD_S = 0.05
+_REQUEST_TIMEOUT_S = 1.0
+_POLL_PERIOD_S = 0.05
 
 
 async def adopt_shares(
-    spread: gossip.Gossip, held: shares.TrafficShares
+    gossip_service: gossip.Gossip, traffic_shares: shares.TrafficShares
 ) -> None:
-    """Go on from the shares of a running entry, of this region at best.
+    """Adopt the shares of a running entry, preferably one of this region.
 
-    Without it an entry that restarts midway in a shift would go by the plan
-    and its own clock, and one midway in a return from a loss, of which no
-    plan tells, would send all of its callers back at once.
+    Otherwise an entry that restarts during a shift would depend on the plan
+    and its own clock. While traffic returns to a region that was lost, for
+    which there is no plan, it would send all of its callers back at once.
+
+    Args:
+        gossip_service: Directory of the entries.
+        traffic_shares: The shares of this entry, which are replaced.
     """
     with trio.move_on_after(DISCOVERY_TIMEOUT_S):
-        while not _running(spread):
-            await trio.sleep(_PERIOD_S)
-    for peer in _running(spread)[:MAX_PEERS]:
-        if await _adopt_from(peer, held):
+        while not _running_entries(gossip_service):
+            await trio.sleep(_POLL_PERIOD_S)
+    for peer in _running_entries(gossip_service)[:MAX_PEERS]:
+        if await _adopt_from(peer, traffic_shares):
             return
     logger.info(logs.Event("shares-by-plan", reason="no running entry answers"))
 
 
-def _running(spread: gossip.Gossip) -> list[messages.Instance]:
-    me = spread.myself
+def _running_entries(gossip_service: gossip.Gossip) -> list[messages.Instance]:
+    me = gossip_service.myself
     others = [
-        one for one in spread.directory.ready_entries() if one.name != me.name
+        entry
+        for entry in gossip_service.directory.ready_entries()
+        if entry.name != me.name
     ]
-    return sorted(others, key=lambda one: one.region != me.region)
+    return sorted(others, key=lambda entry: entry.region != me.region)
 
 
 async def _adopt_from(
-    peer: messages.Instance, held: shares.TrafficShares
+    peer: messages.Instance, traffic_shares: shares.TrafficShares
 ) -> bool:
     try:
-        with trio.fail_after(_ASK_TIMEOUT_S):
+        with trio.fail_after(_REQUEST_TIMEOUT_S):
             async with httpcore.AsyncConnectionPool() as pool:
                 url = f"http://{peer.address}{PATH}"
-                answer = await pool.request("GET", url)
-        parts = parts_by_pool(msgspec.json.decode(answer.content)["pools"])
+                response = await pool.request("GET", url)
+        parts = parts_by_pool(msgspec.json.decode(response.content)["pools"])
     except (
         httpcore.NetworkError,
         httpcore.TimeoutException,
@@ -71,17 +78,20 @@
             logs.Event("shares-not-told", by=peer.name, error=repr(exc))
         )
         return False
-    for name, in_force in parts.items():
-        held.adopt(name, in_force)
+    for name, pool_parts in parts.items():
+        traffic_shares.adopt(name, pool_parts)
     logger.info(logs.Event("shares-adopted", peer=peer.name))
     return True
 
 
 def parts_by_pool(pools: Any) -> dict[str, tuple[state.Part, ...]]:
-    """Return the shares in force by pool, as a status tells them.
+    """Return the parts of the shares in force by pool, from a status document.
+
+    Args:
+        pools: The rows of the pools in the status of an entry.
 
     Raises:
-        MsgspecError, KeyError, TypeError: when it tells none.
+        MsgspecError, KeyError, TypeError: if the rows have another format.
     """
     return {
         pool["pool"]: msgspec.convert(
--- a/hyssopfold/entry/status.py
+++ b/hyssopfold/entry/status.py
@@ -1,4 +1,4 @@
-"""What an entry tells operators of its shares, headroom and who is leaving."""
+"""Status of an entry: traffic shares, headroom and servers being emptied."""
 
 from collections import defaultdict
 import time
@@ -17,32 +17,33 @@
 
 
 class Status:
-    """Answer `GET /hyssop/v1/status`.
+    """Answer `GET /hyssop/v1/status`, which operators and starting entries use.
 
     Args:
         config: Source of the tables in force.
-        spread: Directory of servers and instances.
-        steer: Shares in force.
-        place: Counts of requests under way.
+        gossip_service: Has the directory of servers.
+        steer: Traffic shares in force.
+        placement: Counts of the requests under way.
     """
 
     def __init__(
         self,
         config: configuration.Configuration,
-        spread: gossip.Gossip,
+        gossip_service: gossip.Gossip,
         steer: steering.Steering,
-        place: carrier_parts.Placement,
+        placement: carrier_parts.Placement,
     ) -> None:
         self._config = config
-        self._spread = spread
+        self._gossip = gossip_service
         self._steering = steer
-        self._placement = place
-        # When each emptying server was first seen so, and its requests then.
+        self._placement = placement
+        # For each server being emptied: when that was first observed, and the
+        # number of its requests at that time.
         self._emptying: dict[str, tuple[float, int]] = {}
 
     def answer(self) -> http.Answer:
-        """Return the status as JSON."""
-        me = self._spread.myself
+        """Return the status of this entry as JSON."""
+        me = self._gossip.myself
         reports = {
             report.pool: report for report in self._steering.shares.reports()
         }
@@ -67,10 +68,10 @@
         in_flight = self._placement.in_flight()
         now = trio.current_time()
         by_region: dict[str, list[dict[str, Any]]] = defaultdict(list)
-        for server in self._spread.directory.servers.words():
+        for server in self._gossip.directory.servers.words():
             if server.pool == pool.name:
-                held = in_flight.get(server.server_id, 0)
-                row = self._server(pool, server, held, now)
+                server_requests = in_flight.get(server.server_id, 0)
+                row = self._server(pool, server, server_requests, now)
                 by_region[server.region].append(row)
         return {
             "pool": pool.name,
@@ -90,14 +91,14 @@
         reason = drain_reason(pool, server)
         left_s = None
         if reason:
-            began, first = self._emptying.setdefault(
+            began_at, requests_then = self._emptying.setdefault(
                 server.server_id, (now, in_flight)
             )
-            done = first - in_flight
+            ended = requests_then - in_flight
             if not in_flight:
                 left_s = 0.0
-            elif done > 0:
-                left_s = in_flight * (now - began) / done
+            elif ended > 0:
+                left_s = in_flight * (now - began_at) / ended
         else:
             self._emptying.pop(server.server_id, None)
         return {
@@ -113,7 +114,7 @@
 
 
 def drain_reason(pool: tables.Pool, server: messages.Server) -> str:
-    """Return why a server is being emptied, or "" when it is not."""
+    """Return why a server is being emptied, or "" if it is not."""
     drains = pool.drains
     if server.state == "leaving":
         return "leaving"
