--- a/tests/entry/configuration.feature
+++ b/tests/entry/configuration.feature
@@ -1,35 +1,36 @@
-Feature: an entry's tables follow control, one revision to a request
-  A change is accepted while a long upload runs. The upload must end by the
-  tables that it began with; the next request must use the new ones. When the
-  only control instance left is cut off from its majority, a new entry must
-  not start from its word, and one that runs must say how old its word is.
+Feature: an entry follows the tables of control
+  A request must use the tables of one revision, also when a change is accepted
+  while it runs; the next request must use the new tables. When the only
+  reachable control instance is cut off from its majority, an entry must not
+  start by that instance's unconfirmed revision, and a running entry must report
+  how old its revision is.
 
-  Scenario: a change while a request is under way
+  Scenario: a change while a request is running
     Given a configured entry and a publisher that a majority confirms
     When a revision is published while a request holds its snapshot
     Then the request's snapshot is the old revision and the next one the new
 
-  Scenario: nothing confirms the publisher
+  Scenario: no majority confirms the publisher
     Given a configured entry and a publisher that no majority confirms
     When 60 s pass for the configured entry
     Then the configured entry has no revision
 
   Scenario: the publisher loses its majority
     Given a configured entry and a publisher that a majority confirms
-    When the publisher is not confirmed any more for 300 s
-    Then the configured entry says its word is 300 s old and serves by it
+    When no majority confirms the publisher for 300 s
+    Then the configured entry reports an age of 300 s and keeps its revision
 
-  Scenario: a question with a senseless wait
+  Scenario: a poll with an invalid waiting time
     Given a configured entry and a publisher that a majority confirms
-    When a publisher is asked to wait for ever, for no number and below zero
-    Then each publisher's answer came within its longest wait
+    When a publisher is polled with infinite, NaN, negative and huge waits
+    Then each poll is answered within the publisher's longest wait
 
-  Scenario: control is cut off from one of two entries
-    Given two configured entries of which one reaches control through a relay
+  Scenario: one of two entries loses its connection to control
+    Given two configured entries, one of which reaches control through a relay
     When the relay is cut and a revision is published
-    Then the configured entry behind the relay has it from the other one
+    Then the configured entry behind the relay gets it from the other entry
 
-  Scenario: a control instance that waits for its majority
-    Given a publisher whose reads never end
-    When the publisher is asked for a strong answer
-    Then it gives a weak one before the asker's time-out
+  Scenario: a control instance cannot confirm its revision
+    Given a publisher whose confirming reads never end
+    When the publisher is polled for a confirmed answer
+    Then it gives an unconfirmed answer before the poll's time-out
--- a/tests/entry/crash_checks.feature
+++ b/tests/entry/crash_checks.feature
@@ -1,7 +1,8 @@
-Feature: whether a server crashed or lost one answer
+Feature: checks whether a server crashed or lost a single answer
 
-  # Guards against taking a lost answer for the end of a server, or the reverse.
-  Scenario Outline: a connection breaks by <fault>
+  # Guards against counting a lost answer as a crash, and against not counting a
+  # crash.
+  Scenario Outline: a connection breaks by the fault <fault>
     Given the data path over 2 stand-ins
     When the data path gets <method> with the fault "<fault>@s1"
     And the data path's checks are done
--- a/tests/entry/fingerprints.feature
+++ b/tests/entry/fingerprints.feature
@@ -1,10 +1,11 @@
-Feature: requests that are recognised when they come again
+Feature: fingerprints identify requests that are sent again
 
-  # Guards against requests that pass for another one, or for no known one.
+  # Guards against equal fingerprints of different requests, and against
+  # different fingerprints of the same request.
   Scenario Outline: two requests that differ in <part>
     Given a request of a caller
-    When it comes again with another <part>
-    Then it is <verdict> request
+    When it is sent again with another <part>
+    Then its fingerprint is that of <verdict> request
 
     Examples:
       | part             | verdict     |
@@ -23,8 +24,8 @@
       | length of 1 MB   | the same    |
       | framing          | the same    |
 
-  # Guards against judging a request by a body that is not there yet.
-  Scenario: a request whose body has not come is not known
+  # Guards against a fingerprint of a body that was read only in part.
+  Scenario: a request without its whole body has no fingerprint
     Given a request of a caller
     When a part of its body is missing
     Then it has no fingerprint
--- a/tests/entry/leaving.feature
+++ b/tests/entry/leaving.feature
@@ -1,39 +1,41 @@
 Feature: a planned stop of an entry
-  A franchise uploads its manifest while operators replace the entry. The
-  upload must end well; a shop that learned of the entry seconds ago must be
-  served; nobody's next request may meet a connection that is being closed.
+  Operators stop an entry while callers use it. Uploads in progress must be
+  completed. Callers that got the entry from a look-up shortly before must still
+  be served. The next request on a kept connection must not be lost because the
+  entry closes that connection.
 
-  Scenario: an upload in progress outlives the stop
+  Scenario: an upload in progress is completed during the stop
     Given an entry that can be stopped
-    When it is stopped in the midst of an upload
-    Then the upload is answered whole
+    When it is stopped during an upload
+    Then the upload is answered completely
     And the stopped entry cut nothing
 
-  Scenario: who learned of it before the stop is served
+  Scenario: a caller with a look-up from before the stop is served
     Given an entry that can be stopped
-    When it is stopped and a caller comes by an old look-up
-    Then the late caller is answered and told that the connection closes
+    When it is stopped and a caller connects by an old look-up
+    Then the late caller is answered with `connection: close`
     And the stopped entry cut nothing
 
-  Scenario: a kept-alive connection is told before it is closed
-    The caller writes its next request just as the entry is stopped. Closing
-    the connection then would lose a request that may or may not have run.
+  Scenario: a kept connection is closed only after `connection: close`
+    The caller writes its next request just as the entry is stopped. If the
+    entry closed the connection at that moment, the request would be lost, and
+    the caller could not know whether it ran.
     Given an entry that can be stopped
     When it is stopped while a caller keeps a connection
     Then the kept connection's next request is answered, then it is closed
     And the stopped entry cut nothing
 
-  Scenario: with nobody connected the stop takes the look-ups' time alone
+  Scenario: without connections the stop waits for the look-ups only
     Given an entry that can be stopped
-    When it is stopped with nobody there
+    When it is stopped without any connection
     Then the stopped entry cut nothing
 
-  Scenario: the most time that a stop may take is kept
+  Scenario: a stop does not exceed its time limit
     Given an entry that can be stopped
-    When it is stopped in the midst of an upload that never ends
-    Then the stopped entry cut 1 request and said so
+    When it is stopped during an upload that never ends
+    Then the stopped entry cut 1 request and logged it
 
-  Scenario: a second signal cuts at once and says what
+  Scenario: a second signal cuts the requests at once and logs them
     Given an entry that can be stopped
-    When it is stopped and cut in the midst of an upload
-    Then the stopped entry said what it cut
+    When it is stopped and cut during an upload
+    Then the stopped entry logged the request that it cut
--- a/tests/entry/reopened.feature
+++ b/tests/entry/reopened.feature
@@ -1,11 +1,11 @@
-Feature: a failure domain gets work again
-  While a failure domain is evacuated its servers may become cold. Their own
-  word of that may be late, or lost; until it comes, entries must not send them
-  what warm servers bear.
+Feature: a failure domain gets requests again after an evacuation
+  Servers may become cold while their failure domain is evacuated. Their
+  announcement of that may be late or lost. Until it arrives, entries must not
+  send them as many requests as warm servers bear.
 
-  Scenario: cold servers of a domain that gets work again are not flooded
+  Scenario: cold servers of a reopened domain are not overloaded
     Given 11 entries, and 6 servers in each of 2 failure domains that bear 6.8 requests a second while cold
     When one domain is evacuated for 5 s
-    And its servers say nothing, and 120 requests a second are placed for 3 s
+    And 120 requests a second are placed for 3 s without announcements
     Then in no second did a server of that domain get more than 15 requests
     And all requests found a server
--- a/tests/entry/steering.feature
+++ b/tests/entry/steering.feature
@@ -1,15 +1,15 @@
-Feature: an entry's part in a shift
-  A caller holds an old look-up, or its entry stops, and it turns to an entry
-  of another region. Were its traffic at home wherever its entry is, the cached
-  answers would move it between regions outside of any cap, a TTL late.
+Feature: an entry's steering during a shift
+  A caller with an old look-up, or whose entry stops, uses an entry of another
+  region. If the region of that entry counted as the caller's home, cached
+  look-ups would move traffic between regions a TTL late and without any cap.
 
-  Scenario: a caller is steered alike by whichever entry it asks
-    Given steering at entries of dar and arusha that know client blocks
-    When steering hears of a drain of dar and 5 minutes pass
+  Scenario: all entries steer the requests of a caller in the same way
+    Given steering at entries of dar and arusha with client blocks
+    When dar is drained and 5 minutes of steering pass
     Then both entries steer 500 requests of a dar caller alike, half of them away
-    And without client blocks the entries would steer them apart
+    And without client blocks the entries steer them differently
 
-  Scenario: a starting entry takes over the shares of a running one
-    Given steering at entries of dar and arusha that know client blocks
-    When steering hears of a drain of dar and 5 minutes pass
-    Then a status read by a starting entry gives it the same shares
+  Scenario: a starting entry adopts the shares of a running entry
+    Given steering at entries of dar and arusha with client blocks
+    When dar is drained and 5 minutes of steering pass
+    Then the status of the running entry gives a starting entry the same shares
--- a/tests/steps/entry/claims_steps.py
+++ b/tests/steps/entry/claims_steps.py
@@ -13,27 +13,27 @@
 _KEY = (b"idempotency-key", b"order-1")
 
 
-@when('the data path gets the key "{key}"')
+@when('the data path gets a request with the key "{key}"')
 def _(context, key):
     _ask(context, key)
 
 
-@when('the data path meets "{fault}" under the key "{key}"')
+@when('the data path gets a request that meets "{fault}" with the key "{key}"')
 def _(context, fault, key):
     _ask(context, key, fault=fault)
 
 
-@when('the data path is asked for another path under the key "{key}"')
+@when('the data path gets another path with the key "{key}"')
 def _(context, key):
     _ask(context, key, path="/y")
 
 
 def _ask(context, key, fault="", path="/x"):
-    async def step(found):
-        answer = await found.ask(
+    async def step(data_path):
+        answer = await data_path.ask(
             "POST", path, fault, b"an order", [("idempotency-key", key)]
         )
-        # Settling goes on behind the answer.
+        # Claims are settled after the answer was sent.
         await trio.sleep(0.05)
         return answer
 
@@ -54,56 +54,58 @@
     return exchange
 
 
-@given("entries {first:d} to {last:d} that hold claims")
+@given("entries {first:d} to {last:d} as holders of claims")
 def _(context, first, last):
     context.names = [f"entry-{number}" for number in range(first, last + 1)]
-    context.claim_script = []
+    context.claim_steps = []
 
 
-class _Scene:
-    """Entries, with the holders of the key in their order."""
+class _ClaimEntries:
+    """Entries, and their ranking as holders of the key."""
 
     def __init__(self, names):
         self.entries = datapath.FakeEntries(names)
         self.claims = self.entries.claims
 
     async def prepare(self):
-        held = await self.grant("not-run")
-        self.ranked = core_claims.rank_holders(held.claim_id, list(self.claims))
+        granted = await self.grant("not-run")
+        self.ranked = core_claims.rank_holders(
+            granted.claim_id, list(self.claims)
+        )
 
     async def grant(self, state):
         entry = self.claims["entry-1"]
         exchange = _exchange(1)
-        held = await entry.claim(exchange)
-        assert not isinstance(held, http.Refusal), held
+        granted = await entry.claim(exchange)
+        assert not isinstance(granted, http.Refusal), granted
         if state != "running":
-            entry.settle(held, exchange.request_id, state, 200)
+            entry.settle(granted, exchange.request_id, state, 200)
             with trio.move_on_after(0.05):
                 await entry.run()
-        return held
+        return granted
 
-    def take_out(self, name):
-        known = self.entries.known.instances
-        word = known.get(name)
-        gone = word._replace(state="leaving", sequence=word.sequence + 1)
-        known.update(name, gone, 0.0)
+    def announce_leaving(self, name):
+        instances = self.entries.known.instances
+        record = instances.get(name)
+        leaving = record._replace(state="leaving", sequence=record.sequence + 1)
+        instances.update(name, leaving, 0.0)
 
     async def leave(self, name):
-        self.take_out(name)
+        self.announce_leaving(name)
         await self.claims[name].hand_over()
         self.entries.down.add(name)
 
 
-def _then_do(context, step):
-    context.claim_script.append(step)
+def _add_step(context, step):
+    context.claim_steps.append(step)
 
 
-@when("entry 1 was granted the key and it is {state}")
+@when("entry 1 is granted the key and its request is {state}")
 def _(context, state):
-    async def step(scene):
-        await scene.grant(state)
+    async def step(claim_entries):
+        await claim_entries.grant(state)
 
-    _then_do(context, step)
+    _add_step(context, step)
 
 
 @when("nothing else happens")
@@ -111,74 +113,76 @@
     pass
 
 
-@when("the key's first holder dies")
+@when("the key's first holder crashes")
 def _(context):
-    async def step(scene):
-        scene.entries.down.add(scene.ranked[0])
-        scene.take_out(scene.ranked[0])
+    async def step(claim_entries):
+        claim_entries.entries.down.add(claim_entries.ranked[0])
+        claim_entries.announce_leaving(claim_entries.ranked[0])
 
-    _then_do(context, step)
+    _add_step(context, step)
 
 
-@when("the key's {which} holder is back")
+@when("the key's {which} holder restarts")
 def _(context, which):
-    async def step(scene):
+    async def step(claim_entries):
         index = ("first", "second").index(which)
-        scene.entries.start(scene.ranked[index], 2)
+        claim_entries.entries.start(claim_entries.ranked[index], 2)
 
-    _then_do(context, step)
+    _add_step(context, step)
 
 
-@when("the key's first holder is cut off")
+@when("the key's first holder is unreachable")
 def _(context):
-    async def step(scene):
-        scene.entries.down.add(scene.ranked[0])
+    async def step(claim_entries):
+        claim_entries.entries.down.add(claim_entries.ranked[0])
 
-    _then_do(context, step)
+    _add_step(context, step)
 
 
-@when("both holders are cut off")
+@when("both holders are unreachable")
 def _(context):
-    async def step(scene):
-        scene.entries.down.update(scene.ranked[:2])
+    async def step(claim_entries):
+        claim_entries.entries.down.update(claim_entries.ranked[:2])
 
-    _then_do(context, step)
+    _add_step(context, step)
 
 
 @when("the key's first holder leaves")
 def _(context):
-    async def step(scene):
-        await scene.leave(scene.ranked[0])
+    async def step(claim_entries):
+        await claim_entries.leave(claim_entries.ranked[0])
 
-    _then_do(context, step)
+    _add_step(context, step)
 
 
 @when("both holders leave, one by one")
 def _(context):
-    async def step(scene):
-        for name in scene.ranked[:2]:
-            await scene.leave(name)
+    async def step(claim_entries):
+        for name in claim_entries.ranked[:2]:
+            await claim_entries.leave(name)
 
-    _then_do(context, step)
+    _add_step(context, step)
 
 
-@when("a new entry comes")
+@when("a new entry joins")
 def _(context):
-    async def step(scene):
-        scene.entries.start("entry-6", 1)
+    async def step(claim_entries):
+        claim_entries.entries.start("entry-6", 1)
 
-    _then_do(context, step)
+    _add_step(context, step)
 
 
 async def _ask_again(context):
-    scene = _Scene(context.names)
-    await scene.prepare()
-    for step in context.claim_script:
-        await step(scene)
+    claim_entries = _ClaimEntries(context.names)
+    await claim_entries.prepare()
+    for step in context.claim_steps:
+        await step(claim_entries)
     asking = next(
-        name for name in context.names[1:] if name not in scene.entries.down
+        name
+        for name in context.names[1:]
+        if name not in claim_entries.entries.down
     )
-    return await scene.claims[asking].claim(_exchange(2))
+    return await claim_entries.claims[asking].claim(_exchange(2))
 
 
 @then('another entry refuses the key as "{kind}"')
--- a/tests/steps/entry/configuration_steps.py
+++ b/tests/steps/entry/configuration_steps.py
@@ -24,37 +24,37 @@
 
 
 class FakeClient:
-    """Calls a publisher without a network."""
+    """Client that calls a publisher without a network."""
 
     address = "127.0.0.1:1"
 
-    def __init__(self, served):
-        self._served = served
+    def __init__(self, published):
+        self._published = published
 
     async def call(self, method, req, timeout_s):
         assert method is poll_wire.POLL
         with trio.move_on_after(timeout_s):
-            return await self._served.poll(req)
+            return await self._published.poll(req)
         raise errors.PeerUnavailableError(self.address, "time-out")
 
 
 class Pair:
-    """An entry's configuration and the publisher that it follows."""
+    """An entry's configuration and the publisher that it polls."""
 
     def __init__(self, confirmed):
         self.confirmed = confirmed
         self.confirmations = publisher.Confirmations(self._read)
-        self.served = publisher.Publisher(
+        self.published = publisher.Publisher(
             history.History(),
             self.confirmations.age_s,
             self.confirmations.confirm,
         )
-        # Two more that never answer: one alone is no majority.
-        others = [FakeClient(_Silent()) for _ in range(2)]
+        # Two control instances that never answer: one alone is no majority.
+        others = [FakeClient(_SilentPublisher()) for _ in range(2)]
         for number, other in enumerate(others):
             other.address = f"127.0.0.1:{number + 2}"
         self.entry = configuration.Configuration(
-            "entry-1", [FakeClient(self.served), *others], None,
+            "entry-1", [FakeClient(self.published), *others], None,
             random.Random(1),
         )  # fmt: skip
 
@@ -65,8 +65,8 @@
         pool = tables.Pool(
             f"pool-{revision}", 3, 330, 0.1, 0.1, 4000, 30.0, tables.Drains()
         )
-        held = state.State(tables.Tables((), (pool,)))
-        self.served.publish(revision, state.encode(held))
+        new_state = state.State(tables.Tables((), (pool,)))
+        self.published.publish(revision, state.encode(new_state))
 
     def run(self, drive):
         async def main():
@@ -82,7 +82,7 @@
         trio.run(main, clock=clock)
 
 
-class _Silent:
+class _SilentPublisher:
     async def poll(self, req):
         await trio.sleep_forever()
 
@@ -95,20 +95,24 @@
 @when("a revision is published while a request holds its snapshot")
 def _(context):
     async def drive():
-        context.held = context.pair.entry.snapshot
+        context.request_snapshot = context.pair.entry.snapshot
         context.pair.publish(2)
         await trio.sleep(30)
-        context.next = context.pair.entry.snapshot
+        context.next_snapshot = context.pair.entry.snapshot
 
     context.pair.run(drive)
 
 
 @then("the request's snapshot is the old revision and the next one the new")
 def _(context):
-    assert context.held.revision == 1
-    assert [pool.name for pool in context.held.tables.pools] == ["pool-1"]
-    assert context.next.revision == 2
-    assert [pool.name for pool in context.next.tables.pools] == ["pool-2"]
+    assert context.request_snapshot.revision == 1
+    assert [pool.name for pool in context.request_snapshot.tables.pools] == [
+        "pool-1"
+    ]
+    assert context.next_snapshot.revision == 2
+    assert [pool.name for pool in context.next_snapshot.tables.pools] == [
+        "pool-2"
+    ]
 
 
 @when("{seconds:d} s pass for the configured entry")
@@ -125,7 +129,7 @@
     assert math.isinf(context.pair.entry.age_s(1.0))
 
 
-@when("the publisher is not confirmed any more for {seconds:d} s")
+@when("no majority confirms the publisher for {seconds:d} s")
 def _(context, seconds):
     async def drive():
         context.pair.confirmed = False
@@ -136,27 +140,28 @@
 
 
 @then(
-    "the configured entry says its word is {seconds:d} s old and serves by it"
+    "the configured entry reports an age of {seconds:d} s and keeps its"
+    " revision"
 )
 def _(context, seconds):
     assert seconds <= context.age < seconds + 30, context.age
     assert context.pair.entry.snapshot.revision == 1
 
 
-@when("a publisher is asked to wait for ever, for no number and below zero")
+@when("a publisher is polled with infinite, NaN, negative and huge waits")
 def _(context):
     async def drive():
         context.waits = []
         for wait_s in (math.inf, math.nan, -1.0, 1e300):
-            began = trio.current_time()
+            began_at = trio.current_time()
             req = poll_wire.Poll("x", 10**9, wait_s)
-            await context.pair.served.poll(req)
-            context.waits.append(trio.current_time() - began)
+            await context.pair.published.poll(req)
+            context.waits.append(trio.current_time() - began_at)
 
     context.pair.run(drive)
 
 
-@then("each publisher's answer came within its longest wait")
+@then("each poll is answered within the publisher's longest wait")
 def _(context):
     assert max(context.waits) <= publisher.MAX_WAIT_S + 1, context.waits
 
@@ -173,7 +178,7 @@
     )
 
 
-@given("two configured entries of which one reaches control through a relay")
+@given("two configured entries, one of which reaches control through a relay")
 def _(context):
     context.pair = Pair(confirmed=True)
     context.control = loopback.free_address()
@@ -185,43 +190,43 @@
 def _(context):
     async def main():
         async with rpc.open_loop(), trio.open_nursery() as nursery:
-            links, near = _entry("entry-1", context.control)
+            links, direct = _entry("entry-1", context.control)
             start = nursery.start
-            control = {poll_wire.POLL: context.pair.served.poll}
-            peer = {poll_wire.POLL: near.publisher.poll}
-            await start(rpc.serve, context.control, control, links)
-            await start(rpc.serve, context.peer, peer, links)
+            control_handlers = {poll_wire.POLL: context.pair.published.poll}
+            peer_handlers = {poll_wire.POLL: direct.publisher.poll}
+            await start(rpc.serve, context.control, control_handlers, links)
+            await start(rpc.serve, context.peer, peer_handlers, links)
             await start(context.relay.run)
-            _, far = _entry("entry-2", context.relay.address)
+            _, relayed = _entry("entry-2", context.relay.address)
             nursery.start_soon(context.pair.confirmations.run)
-            nursery.start_soon(near.run)
-            nursery.start_soon(far.run)
+            nursery.start_soon(direct.run)
+            nursery.start_soon(relayed.run)
             context.pair.publish(1)
             with trio.fail_after(LIMIT_S):
-                while far.snapshot.revision < 1:
+                while relayed.snapshot.revision < 1:
                     await trio.sleep(0.01)
                 context.relay.cut()
                 context.pair.publish(2)
-                while near.snapshot.revision < 2:
+                while direct.snapshot.revision < 2:
                     await trio.sleep(0.01)
-                # As the other entry's datagrams tell, each second.
-                far.record_revision(context.peer, near.snapshot.revision)
-                while far.snapshot.revision < 2:
+                # The other entry's datagrams report its revision each second.
+                relayed.record_revision(context.peer, direct.snapshot.revision)
+                while relayed.snapshot.revision < 2:
                     await trio.sleep(0.01)
-            context.values = (near.snapshot.tables, far.snapshot.tables)
+            context.values = (direct.snapshot.tables, relayed.snapshot.tables)
             nursery.cancel_scope.cancel()
 
     trio.run(main)
 
 
-@then("the configured entry behind the relay has it from the other one")
+@then("the configured entry behind the relay gets it from the other entry")
 def _(context):
-    near, far = context.values
-    assert near == far
-    assert [pool.name for pool in far.pools] == ["pool-2"]
+    direct, relayed = context.values
+    assert direct == relayed
+    assert [pool.name for pool in relayed.pools] == ["pool-2"]
 
 
-@given("a publisher whose reads never end")
+@given("a publisher whose confirming reads never end")
 def _(context):
     context.pair = Pair(confirmed=True)
 
@@ -231,25 +236,25 @@
     context.pair.confirmations._read = read
 
 
-@when("the publisher is asked for a strong answer")
+@when("the publisher is polled for a confirmed answer")
 def _(context):
     async def main():
         context.pair.publish(1)
         req = poll_wire.Poll("entry-1", 0, 0.0, b"", True)
-        context.answer = await context.pair.served.poll(req)
-        context.took = trio.current_time()
+        context.answer = await context.pair.published.poll(req)
+        context.took_s = trio.current_time()
 
     async def timed():
         with trio.fail_after(60):
-            began = trio.current_time()
+            began_at = trio.current_time()
             await main()
-            context.took -= began
+            context.took_s -= began_at
 
     trio.run(timed, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-@then("it gives a weak one before the asker's time-out")
+@then("it gives an unconfirmed answer before the poll's time-out")
 def _(context):
     assert not context.answer.strong
     assert context.answer.update.revision == 1
-    assert context.took < follower.FETCH_TIMEOUT_S, context.took
+    assert context.took_s < follower.FETCH_TIMEOUT_S, context.took_s
--- a/tests/steps/entry/fingerprints_steps.py
+++ b/tests/steps/entry/fingerprints_steps.py
@@ -10,7 +10,7 @@
 from hyssopfold.entry import configuration
 from hyssopfold.entry import exchange
 
-_LONG = 1 << 20
+_LONG_BODY_BYTES = 1 << 20
 _SNAPSHOT = configuration.Snapshot(
     1, state.State(tables.parse("pools: []\nroutes: []"))
 )
@@ -25,10 +25,10 @@
 
 def _fingerprint(method="POST", path=b"/x", query=b"", parts=(b"one", b"two"),
                  address="10.0.0.1", is_whole=True, **headers):  # fmt: skip
-    named = {name.replace("_", "-").encode(): value
+    changed = {name.replace("_", "-").encode(): value
              for name, value in headers.items()}  # fmt: skip
     length = str(sum(map(len, parts))).encode()
-    fields = {**_HEADERS, b"content-length": length, **named}
+    fields = {**_HEADERS, b"content-length": length, **changed}
     if b"transfer-encoding" in fields:
         del fields[b"content-length"]
     scope = {
@@ -51,20 +51,20 @@
     async def receive():
         return messages.pop(0)
 
-    made = exchange.Exchange(scope, receive, None, _SNAPSHOT, 0.0)
+    new_exchange = exchange.Exchange(scope, receive, None, _SNAPSHOT, 0.0)
 
     async def read():
-        wanted = len(messages)
-        async for _ in made.body():
-            wanted -= 1
-            if not wanted:
+        remaining = len(messages)
+        async for _ in new_exchange.body():
+            remaining -= 1
+            if not remaining:
                 return
 
     trio.run(read)
-    return made.fingerprint
+    return new_exchange.fingerprint
 
 
-_ALIKE = {
+_CHANGES = {
     "request id": {"hyssop_request_id": b"2"},
     "deadline": {"hyssop_deadline_ms": b"100"},
     "address": {"address": "10.0.0.2"},
@@ -76,9 +76,9 @@
     "cookie": {"cookie": b"session=2"},
     "authorization": {"authorization": b"Bearer b"},
     "body": {"parts": (b"one", b"owt")},
-    "tail of 1 MB": {"parts": (b"a" * (_LONG - 1), b"b")},
+    "tail of 1 MB": {"parts": (b"a" * (_LONG_BODY_BYTES - 1), b"b")},
     "framing": {"transfer_encoding": b"chunked"},
-    "length of 1 MB": {"parts": (b"a" * _LONG, b"b")},
+    "length of 1 MB": {"parts": (b"a" * _LONG_BODY_BYTES, b"b")},
 }
 
 
@@ -87,11 +87,13 @@
     context.first = _fingerprint()
 
 
-@when("it comes again with another {part}")
+@when("it is sent again with another {part}")
 def _(context, part):
     if part.endswith("1 MB"):
-        context.first = _fingerprint(parts=(b"a" * (_LONG - 1), b"a"))
-    context.again = _fingerprint(**_ALIKE[part])
+        context.first = _fingerprint(
+            parts=(b"a" * (_LONG_BODY_BYTES - 1), b"a")
+        )
+    context.again = _fingerprint(**_CHANGES[part])
 
 
 @when("a part of its body is missing")
@@ -99,7 +101,7 @@
     context.again = _fingerprint(is_whole=False)
 
 
-@then("it is {verdict} request")
+@then("its fingerprint is that of {verdict} request")
 def _(context, verdict):
     assert context.first
     assert context.again
--- a/tests/steps/entry/leaving_steps.py
+++ b/tests/steps/entry/leaving_steps.py
@@ -13,13 +13,13 @@
 from tests.support import datapath
 
 TTL_S = 0.2
-SPREAD_S = 0.1
+PROPAGATION_S = 0.1
 MAX_S = 1.0
 _GET = b"GET /x HTTP/1.1\r\nhost: a\r\n\r\n"
 _PUT = b"PUT /upload/1 HTTP/1.1\r\nhost: a\r\ncontent-length: 9\r\n\r\n"
 
 
-class _FakeSpread:
+class _FakeGossip:
     def __init__(self):
         self.states = []
 
@@ -28,13 +28,13 @@
 
 
 class _FakePlacement:
-    """Stand for the slots that the entry grants to others."""
+    """Placement of an entry that grants no slots to others."""
 
     def leave(self):
-        """Hand over what this entry grants."""
+        """Do nothing: there is no grant to hand over."""
 
 
-class _Lines(logging.Handler):
+class _EventRecorder(logging.Handler):
     def __init__(self):
         super().__init__()
         self.events = []
@@ -45,48 +45,48 @@
 
 @given("an entry that can be stopped")
 def _(context):
-    context.steps = stop.Stop(TTL_S, SPREAD_S, MAX_S)
-    context.spread = _FakeSpread()
+    context.stop_state = stop.Stop(TTL_S, PROPAGATION_S, MAX_S)
+    context.gossip_service = _FakeGossip()
     context.placement = _FakePlacement()
-    context.lines = _Lines()
-    listening.logger.addHandler(context.lines)
-    context.add_cleanup(listening.logger.removeHandler, context.lines)
+    context.recorder = _EventRecorder()
+    listening.logger.addHandler(context.recorder)
+    context.add_cleanup(listening.logger.removeHandler, context.recorder)
 
 
 def _run(context, step):
     async def main():
         path = datapath.DataPath(1)
-        leave = leaving.PlannedStop(
-            context.steps,
+        planned_stop = leaving.PlannedStop(
+            context.stop_state,
             path.listener,
-            context.spread,
+            context.gossip_service,
             context.placement.leave,
             path.claims.hand_over,
         )
         async with path.running(), trio.open_nursery() as nursery:
-            context.answer = await step(path, leave, nursery)
-            while context.steps.phase is not stop.Phase.DONE:
+            context.answer = await step(path, planned_stop, nursery)
+            while context.stop_state.phase is not stop.Phase.DONE:
                 await trio.sleep(0.01)
         return path
 
     context.path = trio.run(main)
 
 
-@when("it is stopped in the midst of an upload")
+@when("it is stopped during an upload")
 def _(context):
-    async def step(path, leave, nursery):
+    async def step(path, planned_stop, nursery):
         stream = await path.connect()
         await stream.send_all(_PUT + b"abc")
-        nursery.start_soon(leave.run)
-        # Longer than the look-ups live: only the upload keeps it there.
-        await trio.sleep(TTL_S + SPREAD_S + 0.2)
+        nursery.start_soon(planned_stop.run)
+        # Longer than the look-ups are cached: only the upload delays the stop.
+        await trio.sleep(TTL_S + PROPAGATION_S + 0.2)
         await stream.send_all(b"defghi")
         return await datapath.read_all(stream)
 
     _run(context, step)
 
 
-@then("the upload is answered whole")
+@then("the upload is answered completely")
 def _(context):
     data, end = context.answer
     assert data.startswith(b"HTTP/1.1 200 "), data
@@ -95,18 +95,20 @@
     assert end == "end", end
 
 
-@when("it is stopped and a caller comes by an old look-up")
+@when("it is stopped and a caller connects by an old look-up")
 def _(context):
-    async def step(path, leave, nursery):
-        nursery.start_soon(leave.run)
+    async def step(path, planned_stop, nursery):
+        nursery.start_soon(planned_stop.run)
         await trio.sleep(TTL_S / 2)
-        assert context.spread.states == ["leaving"], context.spread.states
+        assert context.gossip_service.states == ["leaving"], (
+            context.gossip_service.states
+        )
         return await path.exchange(_GET)
 
     _run(context, step)
 
 
-@then("the late caller is answered and told that the connection closes")
+@then("the late caller is answered with `connection: close`")
 def _(context):
     data, _ = context.answer
     assert data.startswith(b"HTTP/1.1 200 "), data
@@ -115,14 +117,14 @@
 
 @when("it is stopped while a caller keeps a connection")
 def _(context):
-    async def step(path, leave, nursery):
+    async def step(path, planned_stop, nursery):
         stream = await path.connect()
         await stream.send_all(_GET)
-        first = b""
-        while not first.endswith(b"}"):
-            first += await stream.receive_some(1000)
-        assert b"connection: close" not in first, first
-        nursery.start_soon(leave.run)
+        first_answer = b""
+        while not first_answer.endswith(b"}"):
+            first_answer += await stream.receive_some(1000)
+        assert b"connection: close" not in first_answer, first_answer
+        nursery.start_soon(planned_stop.run)
         await trio.sleep(TTL_S / 2)
         await stream.send_all(_GET)
         return await datapath.read_all(stream)
@@ -138,33 +140,33 @@
     assert end == "end", end
 
 
-@when("it is stopped with nobody there")
+@when("it is stopped without any connection")
 def _(context):
-    async def step(path, leave, nursery):
-        nursery.start_soon(leave.run)
+    async def step(path, planned_stop, nursery):
+        nursery.start_soon(planned_stop.run)
 
     _run(context, step)
 
 
-@when("it is stopped in the midst of an upload that never ends")
+@when("it is stopped during an upload that never ends")
 def _(context):
-    async def step(path, leave, nursery):
+    async def step(path, planned_stop, nursery):
         stream = await path.connect()
         await stream.send_all(_PUT + b"abc")
         await trio.sleep(0.05)
-        nursery.start_soon(leave.run)
+        nursery.start_soon(planned_stop.run)
         return await datapath.read_all(stream)
 
     _run(context, step)
 
 
-@when("it is stopped and cut in the midst of an upload")
+@when("it is stopped and cut during an upload")
 def _(context):
-    async def step(path, leave, nursery):
+    async def step(path, planned_stop, nursery):
         stream = await path.connect()
         await stream.send_all(_PUT + b"abc")
         await trio.sleep(0.05)
-        nursery.start_soon(leave.run)
+        nursery.start_soon(planned_stop.run)
         await trio.sleep(0.05)
         path.listener.cut("second SIGTERM")
         return await datapath.read_all(stream)
@@ -172,25 +174,31 @@
     _run(context, step)
 
 
-def _cuts(context):
-    return [one for one in context.lines.events if one.event == "requests-cut"]
+def _cut_events(context):
+    return [
+        event
+        for event in context.recorder.events
+        if event.event == "requests-cut"
+    ]
 
 
 @then("the stopped entry cut nothing")
 def _(context):
-    assert context.steps.cut_requests == 0, context.steps.cut_requests
-    assert not _cuts(context), context.lines.events
+    assert context.stop_state.cut_requests == 0, context.stop_state.cut_requests
+    assert not _cut_events(context), context.recorder.events
     assert not context.path.placement.held
 
 
-@then("the stopped entry cut {count:d} request and said so")
+@then("the stopped entry cut {count:d} request and logged it")
 def _(context, count):
-    assert context.steps.cut_requests == count, context.steps.cut_requests
-    assert [one["requests"] for one in _cuts(context)] == [count]
+    assert context.stop_state.cut_requests == count, (
+        context.stop_state.cut_requests
+    )
+    assert [event["requests"] for event in _cut_events(context)] == [count]
 
 
-@then("the stopped entry said what it cut")
+@then("the stopped entry logged the request that it cut")
 def _(context):
-    (line,) = _cuts(context)
-    assert line["requests"] == 1, line
-    assert line["reason"] == "second SIGTERM", line
+    (event,) = _cut_events(context)
+    assert event["requests"] == 1, event
+    assert event["reason"] == "second SIGTERM", event
--- a/tests/steps/entry/reopened_steps.py
+++ b/tests/steps/entry/reopened_steps.py
@@ -10,7 +10,7 @@
 
 from tests.support import local_entries
 
-CLOSED = local_entries.DOMAINS[1]
+EVACUATED_DOMAIN = local_entries.DOMAINS[1]
 
 
 @given(
@@ -29,14 +29,14 @@
 
 
 @when(
-    "its servers say nothing, and {rate:d} requests a second are placed for"
-    " {seconds:d} s"
+    "{rate:d} requests a second are placed for {seconds:d} s without"
+    " announcements"
 )
 def _(context, rate, seconds):
     async def drive():
         entries = context.make_entries()
         await entries.place(rate, 2)
-        entries.install((CLOSED,))
+        entries.install((EVACUATED_DOMAIN,))
         await entries.place(rate, context.evacuated_s)
         entries.install(())
         context.reopened_at = trio.current_time()
@@ -52,7 +52,7 @@
 )
 def _(context, most):
     for server, times in context.entries.sent.items():
-        if server.failure_domain != CLOSED:
+        if server.failure_domain != EVACUATED_DOMAIN:
             continue
         sent = [at for at in times if at >= context.reopened_at]
         for at in sent:
--- a/tests/steps/entry/steering_steps.py
+++ b/tests/steps/entry/steering_steps.py
@@ -31,50 +31,54 @@
 CLIENT = "10.1.2.3"
 
 
-class _Config:
+class _FakeConfiguration:
     def __init__(self):
         self.snapshot = configuration.Snapshot(1, state.State(TABLES))
 
 
-class _Spread:
-    def __init__(self, known):
-        self.directory = known
+class _FakeGossip:
+    def __init__(self, member_directory):
+        self.directory = member_directory
         self.myself = messages.Instance(
             "entry-1", "entry", "", "", "dar", "dar-1", "ready", 1, 1, 1, 0.0
         )
 
 
-class _Placement:
+class _FakePlacement:
     def in_flight(self):
         return {}
 
 
-def _known():
-    known = directory.Directory(1e9)
+def _make_directory():
+    member_directory = directory.Directory(1e9)
     for region in ("dar", "arusha"):
         server = messages.Server(
             f"ledger-{region}", "ledger", "127.0.0.1:9", region, f"{region}-1",
             3, 330, "ready", 1, 1, 0.0,
         )  # fmt: skip
-        known.servers.update(server.server_id, server, 0.0)
-    return known
+        member_directory.servers.update(server.server_id, server, 0.0)
+    return member_directory
 
 
-def _steering(context, region, lines):
-    clients = blocks.ClientBlocks("")
-    clients.table = client_blocks.parse(lines, "blocks")
-    delays = {"dar": 35.0, "arusha": 35.0}
+def _make_steering(context, region, lines):
+    client_regions = blocks.ClientBlocks("")
+    client_regions.table = client_blocks.parse(lines, "blocks")
+    delays_ms = {"dar": 35.0, "arusha": 35.0}
     return steering.Steering(
-        region, delays, context.configuration, context.known, clients
+        region,
+        delays_ms,
+        context.configuration,
+        context.directory,
+        client_regions,
     )
 
 
-@given("steering at entries of dar and arusha that know client blocks")
+@given("steering at entries of dar and arusha with client blocks")
 def _(context):
-    context.configuration = _Config()
-    context.known = _known()
+    context.configuration = _FakeConfiguration()
+    context.directory = _make_directory()
     context.entries = [
-        _steering(context, region, lines)
+        _make_steering(context, region, lines)
         for lines in (BLOCKS, ())
         for region in ("dar", "arusha")
     ]
@@ -82,17 +86,17 @@
         entry.step(0.0, 0.0)
 
 
-@when("steering hears of a drain of dar and {minutes:d} minutes pass")
+@when("dar is drained and {minutes:d} minutes of steering pass")
 def _(context, minutes):
     drained = shift_simulation.with_drains(TABLES, regions=("dar",))
-    held = plans.after_edit(state.State(TABLES), drained, 0.0)
-    context.configuration.snapshot = configuration.Snapshot(2, held)
+    new_state = plans.after_edit(state.State(TABLES), drained, 0.0)
+    context.configuration.snapshot = configuration.Snapshot(2, new_state)
     for entry in context.entries:
         for second in range(minutes * 60 + 1):
             entry.step(float(second), float(second))
 
 
-def _ways(entry):
+def _first_regions(entry):
     route = TABLES.routes[0]
     return [
         entry.decide(route, f"request {number}", CLIENT).regions[0].name
@@ -104,22 +108,25 @@
     "both entries steer 500 requests of a dar caller alike, half of them away"
 )
 def _(context):
-    one, other = map(_ways, context.entries[:2])
-    assert one == other
-    assert 0.4 < one.count("arusha") / len(one) < 0.6
+    first, second = map(_first_regions, context.entries[:2])
+    assert first == second
+    assert 0.4 < first.count("arusha") / len(first) < 0.6
 
 
-@then("without client blocks the entries would steer them apart")
+@then("without client blocks the entries steer them differently")
 def _(context):
-    one, other = map(_ways, context.entries[2:])
-    assert one != other
+    first, second = map(_first_regions, context.entries[2:])
+    assert first != second
 
 
-@then("a status read by a starting entry gives it the same shares")
+@then("the status of the running entry gives a starting entry the same shares")
 def _(context):
     running = context.entries[0]
     status = entry_status.Status(
-        context.configuration, _Spread(context.known), running, _Placement()
+        context.configuration,
+        _FakeGossip(context.directory),
+        running,
+        _FakePlacement(),
     )
 
     async def read():
@@ -127,11 +134,12 @@
 
     answer = trio.run(read, clock=trio.testing.MockClock())
     body = msgspec.json.decode(answer.body)
-    started = shares.TrafficShares()
-    # Its clock is an hour ahead: by it the drain is done.
-    started.install(context.configuration.snapshot.state, 0.0, 3600.0)
+    adopted = shares.TrafficShares()
+    # The starting entry's clock is an hour ahead, so that by its plan alone the
+    # drain would be finished.
+    adopted.install(context.configuration.snapshot.state, 0.0, 3600.0)
     for pool, parts in adoption.parts_by_pool(body["pools"]).items():
-        started.adopt(pool, parts)
-    mine, theirs = started.reports()[0], running.shares.reports()[0]
-    assert mine.parts == theirs.parts
-    assert 0.4 < mine.to_go < 0.6, mine
+        adopted.adopt(pool, parts)
+    report, running_report = adopted.reports()[0], running.shares.reports()[0]
+    assert report.parts == running_report.parts
+    assert 0.4 < report.to_go < 0.6, report
