--- a/tests/steps/transport/crash_reports_steps.py
+++ b/tests/steps/transport/crash_reports_steps.py
@@ -93,7 +93,7 @@
 def _(context, seconds):
     async def check(network):
         await trio.sleep(seconds)
-        holding = network.holding(_REQUEST)
+        holding = network.blocking_instances(_REQUEST)
         missing = set(network.reports) - set(holding)
         assert not missing, missing
 
--- a/tests/support/local_entries.py
+++ b/tests/support/local_entries.py
@@ -1,4 +1,4 @@
-"""Entries with local placement, constructed but without running tasks."""
+"""Entries with local placement that are constructed but run no tasks."""
 
 import collections
 import random
@@ -36,12 +36,17 @@
 class LocalEntries:
     """Entries with the same tables and the same servers.
 
-    Must be created within a trio run.
+    Must be created within a trio run. Used by the feature of reopened failure
+    domains.
 
     Args:
         count: Number of entries.
-        servers: Servers in each failure domain.
+        servers: Number of servers in each failure domain.
         rate: Requests a second that a cold server bears.
+
+    Attributes:
+        sent: Monotonic times at which requests were placed, by server.
+        refused: Number of requests for which no server was found.
     """
 
     def __init__(self, count, servers, rate):
@@ -52,7 +57,7 @@
         self._rng = random.Random(1)
         self._running = collections.deque()
         self.entries = [self._entry(number) for number in range(count)]
-        self._introduce()
+        self._exchange_records()
         for number in range(servers * len(DOMAINS)):
             self._add_server(number)
         self.install(())
@@ -64,7 +69,7 @@
             cfg, adapters.OUR_ADAPTERS, log_output.BoundedHandler(1)
         )
 
-    def _introduce(self):
+    def _exchange_records(self):
         records = [
             record._replace(state="ready", sequence=record.sequence + 1)
             for record in (entry.spread.myself for entry in self.entries)
@@ -82,24 +87,34 @@
             entry.known.servers.update(record.server_id, record, 1e9)
 
     def install(self, evacuated):
-        """Put a revision in force at all entries."""
+        """Put a revision in force at all entries.
+
+        Args:
+            evacuated: Failure domains evacuated at this revision.
+        """
         self.revision += 1
         new_state = self.state._replace(evacuated=evacuated)
         for entry in self.entries:
             entry.config.install(self.revision, state.encode(new_state))
 
     async def place(self, rate, seconds):
-        """Place requests for random objects, at the entries in turn."""
+        """Place requests for random objects, at each entry in turn.
+
+        Args:
+            rate: Requests a second.
+            seconds: Duration in seconds.
+        """
         for number in range(round(rate * seconds)):
             await trio.sleep(1 / rate)
             self._end_requests()
             await self._place_one(self.entries[number % len(self.entries)])
 
     async def _place_one(self, entry):
-        current = entry.config.snapshot.state
-        home = (messages.Region("dar", False),)
+        current_state = entry.config.snapshot.state
+        home_regions = (messages.Region("dar", False),)
         req = messages.Request(
-            "r", "ledger", regions.restrict(home, (), current.evacuated), 0,
+            "r", "ledger",
+            regions.restrict(home_regions, (), current_state.evacuated), 0,
             1e9, (), f"pay {self._rng.randrange(_OBJECTS)}", 0.25, "pay",
         )  # fmt: skip
         pool = entry.config.snapshot.tables.pool("ledger")
--- a/tests/support/running_entries.py
+++ b/tests/support/running_entries.py
@@ -1,4 +1,4 @@
-"""Entries that run on loopback and gossip, over stand-ins that crash."""
+"""Entries on loopback that exchange gossip, with stand-ins that crash."""
 
 import contextlib
 import time
@@ -32,18 +32,24 @@
 placement: local
 control_seeds: ["127.0.0.1:9"]
 """
-# Need a control instance, or read files that these entries do not have.
-_LEFT_OUT = ("configuration", "state", "steering", "reloading", "client-blocks")
+# Child tasks that need a control instance, or read files that don't exist here.
+_OMITTED_CHILDREN = (
+    "configuration",
+    "state",
+    "steering",
+    "reloading",
+    "client-blocks",
+)
 _LEASE_S = 1e9
-_BACK_AFTER_S = 1.0
-_MEET_S = 10.0
+_RESTART_S = 1.0
+_DISCOVERY_TIMEOUT_S = 10.0
 WAIT_S = 60.0
 
 
 class RunningEntries:
-    """Entries that know each other and the same servers.
+    """Running entries that have each other and the same servers as members.
 
-    A server that crashes is back under another id after `_BACK_AFTER_S`.
+    A server that crashes restarts under another id after `_RESTART_S`.
 
     Args:
         count: Number of entries.
@@ -51,23 +57,25 @@
     """
 
     def __init__(self, count, servers):
-        # When a server crashed.
+        # Monotonic times at which servers crashed.
         self.crashed_at = []
         self._servers = servers
         names = [f"entry-{number}" for number in range(count)]
         seeds = {name: loopback.free_address(2) for name in names}
         self.entries = {
-            name: self._make(number, name, seeds)
+            name: self._make_entry(number, name, seeds)
             for number, name in enumerate(names)
         }
 
-    def _make(self, number, name, seeds):
+    def _make_entry(self, number, name, seeds):
         text = SETTINGS.format(
             name=name,
             number=number,
             http=loopback.free_address(),
             gossip=seeds[name],
-            seeds=", ".join(f'"{seeds[one]}"' for one in seeds if one != name),
+            seeds=", ".join(
+                f'"{seeds[other]}"' for other in seeds if other != name
+            ),
         )
         cfg = settings.parse_entry(text, "test")
         return entry_parts.Entry(
@@ -76,26 +84,26 @@
 
     @contextlib.asynccontextmanager
     async def running(self):
-        """Run all of it, once the entries have met."""
+        """Run all entries and servers; enter once all members are known."""
         with trio.fail_after(WAIT_S):
             async with trio.open_nursery() as nursery:
                 for entry in self.entries.values():
                     self.start(entry, nursery)
                 for number in range(self._servers):
-                    nursery.start_soon(self._keep_server, number)
-                await self._meet()
+                    nursery.start_soon(self._run_server, number)
+                await self._wait_for_members()
                 try:
                     yield self
                 finally:
                     nursery.cancel_scope.cancel()
 
     def start(self, entry, nursery):
-        """Start an entry with the tables in force."""
+        """Start an entry and put the tables in force at it."""
         entry.config.install(1, state.encode(state.State(tables.parse(TABLES))))
         entry.steer.step(trio.current_time(), time.time())
         entry.spread.update_self(state="ready")
         for name, child in entry.children():
-            if name not in _LEFT_OUT:
+            if name not in _OMITTED_CHILDREN:
                 nursery.start_soon(child)
         nursery.start_soon(self._serve, entry)
 
@@ -106,43 +114,49 @@
             entry.apps[address], address, trio.Event(), lambda: 0.0, listener
         )
 
-    async def _meet(self):
-        with trio.fail_after(_MEET_S):
+    async def _wait_for_members(self):
+        with trio.fail_after(_DISCOVERY_TIMEOUT_S):
             while any(
-                len(one.known.ready_entries()) < len(self.entries)
-                or len(one.known.ready_servers("ledger")) < self._servers
-                for one in self.entries.values()
+                len(entry.known.ready_entries()) < len(self.entries)
+                or len(entry.known.ready_servers("ledger")) < self._servers
+                for entry in self.entries.values()
             ):
                 await trio.sleep(0.05)
 
-    async def _keep_server(self, number):
+    async def _run_server(self, number):
         address = loopback.free_address()
-        for life in range(1, 1000):
-            name = f"s{number}-{life}"
+        for incarnation in range(1, 1000):
+            name = f"s{number}-{incarnation}"
             server = standin_server.Server(
                 standin_server.Options(
                     name, "ledger", address, "dar", f"dar-{number}", 3, 330,
                     0.01, (),
                 )
             )  # fmt: skip
-            word = messages.Server(
+            record = messages.Server(
                 name, "ledger", address, "dar", f"dar-{number}", 3, 330,
-                "ready", life, 1, 0.0,
+                "ready", incarnation, 1, 0.0,
             )  # fmt: skip
-            self._tell(word)
+            self._update_entries(record)
             await server.serve(trio.Event())
             self.crashed_at.append(trio.current_time())
-            self._tell(word._replace(state="gone", sequence=2))
-            await trio.sleep(_BACK_AFTER_S)
+            self._update_entries(record._replace(state="gone", sequence=2))
+            await trio.sleep(_RESTART_S)
 
-    def _tell(self, word):
+    def _update_entries(self, record):
         now = trio.current_time()
         for entry in self.entries.values():
-            entry.known.servers.update(word.server_id, word, now)
-            entry.known.servers.renew(word.server_id, now, _LEASE_S)
+            entry.known.servers.update(record.server_id, record, now)
+            entry.known.servers.renew(record.server_id, now, _LEASE_S)
 
     async def ask(self, name, method, fault=""):
-        """Send a request to an entry; return the answer."""
+        """Send a request to an entry and return the answer.
+
+        Args:
+            name: Name of the entry.
+            method: Method of the request.
+            fault: Fault of the server that gets it; none if empty.
+        """
         entry = self.entries[name]
         headers = {"host": "shop.example"}
         path = "/sound"
