--- a/hyssopfold/entry/lookups.py
+++ b/hyssopfold/entry/lookups.py
@@ -139,7 +139,7 @@
         """Return the entries of a region, or of the nearest that has any.
 
         A caller spreads its connections over all of them, so that the loss of
-        an entry costs it one connection and not all.
+        an entry costs it a single connection and not all.
 
         Args:
             region: The region to begin with.
--- a/tests/entry/claims.feature
+++ b/tests/entry/claims.feature
@@ -1,7 +1,7 @@
 Feature: a caller resends a request with the same idempotency key
-  When an answer is lost, the caller resends the request through the same entry
-  or through another entry of the region. Guards against running the request
-  twice, and against reporting `not-run` for a request that did run.
+  A caller whose answer is lost resends the request through the same entry or
+  through another entry of the region. Guards against running the request twice,
+  and against reporting `not-run` for a request that did run.
 
   Scenario: a resend through the same entry after an answer
     Given the data path over 2 stand-ins
@@ -20,7 +20,7 @@
   Scenario: another request with a used key is not run
     Given the data path over 1 stand-ins
     When the data path gets a request with the key "order-3"
-    And the data path gets another path with the key "order-3"
+    And the data path gets a request for another path with the key "order-3"
     Then the data path answers 422 with outcome "not-run"
     And the data path ran it 1 times
 
--- a/tests/steps/entry/claims_steps.py
+++ b/tests/steps/entry/claims_steps.py
@@ -23,7 +23,7 @@
     _ask(context, key, fault=fault)
 
 
-@when('the data path gets another path with the key "{key}"')
+@when('the data path gets a request for another path with the key "{key}"')
 def _(context, key):
     _ask(context, key, path="/y")
 
