--- a/hyssopfold/entry/configuration.py
+++ b/hyssopfold/entry/configuration.py
@@ -105,7 +105,7 @@
 
     @property
     def is_behind(self) -> bool:
-        """Return whether a newer revision than the one in force exists."""
+        """Return whether a newer revision than the one in force is known."""
         return self._follower.is_behind
 
     def set_control(self, addresses: list[str]) -> None:
--- a/hyssopfold/entry/status.py
+++ b/hyssopfold/entry/status.py
@@ -48,7 +48,7 @@
             report.pool: report for report in self._steering.shares.reports()
         }
         pools = [
-            self._pool(pool, reports.get(pool.name))
+            self._pool_status(pool, reports.get(pool.name))
             for pool in self._config.snapshot.tables.pools
         ]
         return http.json_answer(
@@ -62,7 +62,7 @@
             }
         )
 
-    def _pool(
+    def _pool_status(
         self, pool: tables.Pool, report: shares.Report | None
     ) -> dict[str, Any]:
         in_flight = self._placement.in_flight()
@@ -71,7 +71,7 @@
         for server in self._gossip.directory.servers.words():
             if server.pool == pool.name:
                 server_requests = in_flight.get(server.server_id, 0)
-                row = self._server(pool, server, server_requests, now)
+                row = self._server_status(pool, server, server_requests, now)
                 by_region[server.region].append(row)
         return {
             "pool": pool.name,
@@ -81,7 +81,7 @@
             "regions": by_region,
         }
 
-    def _server(
+    def _server_status(
         self,
         pool: tables.Pool,
         server: messages.Server,
