--- a/hyssopfold/entry/lookups.py
+++ b/hyssopfold/entry/lookups.py
@@ -23,7 +23,7 @@
 MAX_INDEX_AGE_S = 0.25
 # Callers accept no more addresses than this.
 MAX_ENTRIES = 64
-_REQUEST_KEY = "lookup "
+_SHARES_KEY_PREFIX = "lookup "
 
 
 class RegionEntries(NamedTuple):
@@ -94,19 +94,19 @@
         home = self._steering.home_region_of(client)
         preferred: tuple[str, ...] = (home or self._region,)
         reason = "nearest"
-        changing = self._index.is_changing
+        is_changing = self._index.is_changing
         if route is not None:
-            changing = changing or self._steering.is_moving(route.pool)
+            is_changing = is_changing or self._steering.is_moving(route.pool)
             if home is not None:
                 # Every entry knows the caller's home region and steers its
                 # requests in the same way, so the answer may depend on the
                 # traffic shares.
-                key = _REQUEST_KEY + client
+                key = _SHARES_KEY_PREFIX + client
                 decision = self._steering.decide(route, key, client)
                 preferred = (decision.regions[0].name, home)
                 reason = decision.reason
         entries = self._index.rank(client, self._region_order(preferred))
-        ttl_s = lookup.ttl_s(self._usual_ttl_s, changing)
+        ttl_s = lookup.ttl_s(self._usual_ttl_s, is_changing)
         if logger.isEnabledFor(logging.INFO):
             logger.info(
                 logs.Event(
--- a/hyssopfold/entry/placement.py
+++ b/hyssopfold/entry/placement.py
@@ -99,7 +99,7 @@
         return self._core.holder.in_flight()
 
     def leave(self) -> None:
-        """Hand over the slots that this entry grants to another grantor."""
+        """Stop granting slots, so that another entry becomes the grantor."""
         self._handle(node.Leave())
 
     async def run(self) -> None:
