--- a/hyssopfold/entry/configuration.py
+++ b/hyssopfold/entry/configuration.py
@@ -63,9 +63,9 @@
         control: Clients of the control instances.
         peers: Creates clients of other entries.
         rng: Draws the order in which instances are polled.
-        ways: Ways by which revisions are learned.
+        modes: Which modes of update are on.
         timing: Seconds between polls.
-        knows_all: Whether `control` are all control instances there are.
+        control_is_complete: Whether `control` lists all control instances.
     """
 
     def __init__(
@@ -74,15 +74,20 @@
         control: list[rpc.Client],
         peers: rpc.Clients,
         rng: random.Random,
-        ways: messages.Ways = follower.ALL_WAYS,
+        modes: messages.UpdateModes = follower.ALL_MODES,
         timing: follower.Timing = follower.USUAL_TIMING,
-        knows_all: bool = True,
+        control_is_complete: bool = True,
     ) -> None:
         self._name = name
         self._control = {client.address: client for client in control}
         self._peers = peers
         self._follower = follower.Follower(
-            list(self._control), rng, ways, timing, decode_error, knows_all
+            list(self._control),
+            rng,
+            modes,
+            timing,
+            decode_error,
+            control_is_complete,
         )
         self._event_sender, self._event_receiver = trio.open_memory_channel[
             messages.Event
@@ -122,10 +127,12 @@
             source: RPC address of the instance, empty if it has none.
             revision: The revision.
         """
-        if revision <= self._follower.wanted:
+        if revision <= self._follower.target_revision:
             return
         try:
-            self._event_sender.send_nowait(messages.Heard(source, revision))
+            self._event_sender.send_nowait(
+                messages.RevisionReported(source, revision)
+            )
         except trio.WouldBlock:
             # The next message of any instance reports the revision again.
             logger.debug(logs.Event("hint-dropped", revision=revision))
@@ -146,7 +153,7 @@
             return await self._event_receiver.receive()
         return messages.Tick()
 
-    async def poll(self, effect: messages.Ask) -> None:
+    async def poll(self, effect: messages.SendPoll) -> None:
         """Poll an instance and pass its answer to the follower."""
         event: messages.Event
         client = self._control.get(effect.source)
@@ -161,10 +168,10 @@
         )
         try:
             answer = await client.call(poll_wire.POLL, req, effect.timeout_s)
-            event = messages.Answered(effect.call, *answer)
+            event = messages.PollAnswered(effect.poll_id, *answer)
         except errors.PeerUnavailableError as exc:
             logger.debug(logs.Event("poll-failed", to=effect.source, error=exc))
-            event = messages.Failed(effect.call)
+            event = messages.PollFailed(effect.poll_id)
         await self._event_sender.send(event)
 
     def install(self, revision: int, encoded: bytes) -> None:
@@ -198,7 +205,9 @@
 
 @_execute.register
 def _(
-    effect: messages.Ask, configuration: Configuration, nursery: trio.Nursery
+    effect: messages.SendPoll,
+    configuration: Configuration,
+    nursery: trio.Nursery,
 ) -> None:
     nursery.start_soon(configuration.poll, effect)
 
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -162,7 +162,7 @@
     async def _prune(self) -> None:
         while True:
             await trio.sleep(_PRUNE_PERIOD_S)
-            servers = self._directory.servers.words()
+            servers = self._directory.servers.records()
             self._chooser.prune({server.server_id for server in servers})
 
     async def _report_silent(self) -> None:
