--- a/hyssopfold/entry/configuration.py
+++ b/hyssopfold/entry/configuration.py
@@ -42,7 +42,7 @@
         self.router = routing.Router(replicated_state.tables.routes)
 
 
-def decode_error(value: bytes) -> str:
+def unreadable_reason(value: bytes) -> str:
     """Return why this program cannot decode a value, or "" if it can."""
     try:
         state.decode(value)
@@ -86,7 +86,7 @@
             rng,
             modes,
             timing,
-            decode_error,
+            unreadable_reason,
             control_is_complete,
         )
         self._event_sender, self._event_receiver = trio.open_memory_channel[
