--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -154,7 +154,9 @@
             parts.placement.release(answer, unused)
             return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
         if not effect.tried:
-            parts.steering.note(pool.name, self._decision, answer.server)
+            parts.steering.record_server(
+                pool.name, self._decision, answer.server
+            )
         self._grant = answer
         self._granted_at = trio.current_time()
         self._log_grant(answer, effect)
@@ -198,7 +200,7 @@
             regions.restrict(
                 self._decision.regions,
                 self._route.allowed_regions,
-                self._exchange.snapshot.held.evacuated,
+                self._exchange.snapshot.state.evacuated,
             ),
             self._route.priority,
             effect.deadline,
@@ -272,7 +274,7 @@
         async def pace(part: bytes, length: int | None) -> None:
             if server.region != parts.region:
                 bulk = length is None or length > BULK_BYTES
-                await parts.pacer.take(server.region, len(part), bulk)
+                await parts.pacer.throttle(server.region, len(part), bulk)
 
         return pace
 
@@ -313,8 +315,8 @@
         fingerprint = self._exchange.fingerprint
         may_run = self._machine.last_sent is events.Sent.MAYBE_SENT
         if self._is_broken and may_run and fingerprint:
-            self._parts.upstream.checks.suspect(
-                crash_checks.Broken(
+            self._parts.upstream.checks.schedule_check(
+                crash_checks.BrokenAttempt(
                     server, fingerprint, self._exchange.request_id
                 )
             )
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -72,7 +72,7 @@
 class FakePacer:
     """Links with room for all."""
 
-    async def take(self, region, size, bulk):
+    async def throttle(self, region, size, bulk):
         """Let all pass."""
 
 
@@ -83,7 +83,7 @@
         home = messages.Region("dar", False)
         return regions.Decision((home,), ())
 
-    def note(self, pool, decision, server):
+    def record_server(self, pool, decision, server):
         pass
 
 
