--- a/hyssopfold/entry/exchange.py
+++ b/hyssopfold/entry/exchange.py
@@ -142,9 +142,9 @@
         return host_of(self.header(b"host") or b"")
 
     @property
-    def place(self) -> serving.Place | None:
+    def pipeline_position(self) -> serving.PipelinePosition | None:
         """Return where the request stood on its connection, if known."""
-        return place_of(self.scope)
+        return position_in_pipeline(self.scope)
 
     @property
     def client(self) -> str:
@@ -305,11 +305,11 @@
         return found
 
 
-def place_of(scope: http.Scope) -> serving.Place | None:
+def position_in_pipeline(scope: http.Scope) -> serving.PipelinePosition | None:
     """Return where a request stood on its connection, if that is known."""
-    place: serving.Place | None
-    place = scope.get("extensions", {}).get(serving.PLACE)
-    return place
+    position: serving.PipelinePosition | None
+    position = scope.get("extensions", {}).get(serving.PLACE)
+    return position
 
 
 def host_of(header: bytes) -> str:
--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -228,9 +228,9 @@
         took_s: float,
         goal_s: float,
     ) -> None:
-        place = exchange.place
-        behind_s = place.behind_s if place is not None else 0.0
-        if place is not None and place.ahead:
+        position = exchange.pipeline_position
+        behind_s = position.behind_s if position is not None else 0.0
+        if position is not None and position.ahead:
             self._meter.behind.observe({}, behind_s)
         exchange.log.add(
             logger,
@@ -238,7 +238,7 @@
             outcome=exchange.outcome,
             status=exchange.status,
             took_s=round(took_s, 4),
-            ahead=place.ahead if place is not None else 0,
+            ahead=position.ahead if position is not None else 0,
             behind_s=round(behind_s, 4),
             goal_s=goal_s,
             fingerprint=exchange.fingerprint.hex(),
@@ -318,8 +318,8 @@
 
 def _began(scope: http.Scope) -> float:
     """Return when a request's head was read: its caller waits since then."""
-    place = exchange_module.place_of(scope)
-    return place.read_at if place is not None else trio.current_time()
+    position = exchange_module.position_in_pipeline(scope)
+    return position.read_at if position is not None else trio.current_time()
 
 
 def _promised_status(refusal: http.Refusal) -> int:
--- a/hyssopfold/serving/connection.py
+++ b/hyssopfold/serving/connection.py
@@ -19,7 +19,7 @@
 
 from hyssopfold import logs
 from hyssopfold.serving import limits as limits_module
-from hyssopfold.serving import turns
+from hyssopfold.serving import pipelined_request
 
 logger = logging.getLogger(__name__)
 
@@ -58,7 +58,7 @@
         self._send_lock = trio.Lock()
         self._scope = trio.CancelScope()
         self._group: trio.Nursery
-        self._peers: turns.Peers
+        self._peers: pipelined_request.ConnectionEndpoints
         self.idle_since = trio.current_time()
         # Bytes that no parser has taken.
         self._held = bytearray()
@@ -66,11 +66,13 @@
         self._fed = 0
         self._head_by = _NEVER
         # The request whose head is read and that may not start yet.
-        self._waiting: turns.Turn | None = None
+        self._waiting: pipelined_request.PipelinedRequest | None = None
         # The request whose body is still being read.
-        self._uploading: turns.Turn | None = None
+        self._uploading: pipelined_request.PipelinedRequest | None = None
         # Requests started and not answered, in the order of their answers.
-        self._turns: collections.deque[turns.Turn] = collections.deque()
+        self._turns: collections.deque[pipelined_request.PipelinedRequest] = (
+            collections.deque()
+        )
         self._running = 0
         # Whether no more requests are taken, and nobody is left to answer.
         self._last = False
@@ -90,7 +92,7 @@
         """Read requests and have them answered until the connection ends."""
         sock = self._stream.socket
         try:
-            self._peers = turns.Peers(
+            self._peers = pipelined_request.ConnectionEndpoints(
                 sock.getpeername()[:2], sock.getsockname()[:2]
             )
             with self._scope:
@@ -202,11 +204,15 @@
         self._waiting = self._turn(event)
         return True
 
-    def _turn(self, req: h11.Request) -> turns.Turn:
+    def _turn(self, req: h11.Request) -> pipelined_request.PipelinedRequest:
         """Return the turn of a request whose head is read."""
-        place = turns.Place(trio.current_time(), len(self._turns))
-        scope = turns.scope_of(req, self._peers, place)
-        turn = turns.Turn(self, self._parser, scope, whole=_is_bodiless(req))
+        place = pipelined_request.PipelinePosition(
+            trio.current_time(), len(self._turns)
+        )
+        scope = pipelined_request.asgi_scope(req, self._peers, place)
+        turn = pipelined_request.PipelinedRequest(
+            self, self._parser, scope, whole=_is_bodiless(req)
+        )
         if turn.whole:
             self._parser.next_event()
             self._next_parser(turn)
@@ -215,7 +221,7 @@
         self._head_by = _NEVER
         return turn
 
-    def _next_parser(self, turn: turns.Turn) -> None:
+    def _next_parser(self, turn: pipelined_request.PipelinedRequest) -> None:
         """Leave the turn's parser, with its request whole, for a new one."""
         rest, _ = turn.parser.trailing_data
         self._held[:0] = rest
@@ -228,7 +234,7 @@
         most = self._limits.header_bytes
         return h11.Connection(h11.SERVER, max_incomplete_event_size=most)
 
-    def _may_start(self, turn: turns.Turn) -> bool:
+    def _may_start(self, turn: pipelined_request.PipelinedRequest) -> bool:
         """Return whether a request may start beside those under way.
 
         One that may not be repeated starts once all before it are answered,
@@ -243,13 +249,13 @@
         beside = self._owner.runs_beside
         return beside(turn.scope) and beside(self._turns[-1].scope)
 
-    def _start(self, turn: turns.Turn) -> None:
+    def _start(self, turn: pipelined_request.PipelinedRequest) -> None:
         turn.place.started_at = trio.current_time()
         self._queue(turn)
         self._group.start_soon(self._serve, turn)
         self._drained.set()
 
-    def _queue(self, turn: turns.Turn) -> None:
+    def _queue(self, turn: pipelined_request.PipelinedRequest) -> None:
         self._running += 1
         self._turns.append(turn)
         if self._turns[0] is turn:
@@ -261,15 +267,22 @@
         self._held.clear()
         self._fed = 0
         self._head_by = _NEVER
-        place = turns.Place(trio.current_time(), len(self._turns))
-        scope = {"method": "GET", "extensions": {turns.PLACE: place}}
-        turn = turns.Turn(self, self._parser, scope, whole=False)
+        place = pipelined_request.PipelinePosition(
+            trio.current_time(), len(self._turns)
+        )
+        scope = {
+            "method": "GET",
+            "extensions": {pipelined_request.PLACE: place},
+        }
+        turn = pipelined_request.PipelinedRequest(
+            self, self._parser, scope, whole=False
+        )
         self._queue(turn)
         self._group.start_soon(self._serve_refusal, turn, status)
 
     # Serving.
 
-    async def _serve(self, turn: turns.Turn) -> None:
+    async def _serve(self, turn: pipelined_request.PipelinedRequest) -> None:
         reason = "no whole answer"
         status = 500
         try:
@@ -284,12 +297,14 @@
             await self._replace(turn, turn.fault or status, reason)
         self._served()
 
-    async def _serve_refusal(self, turn: turns.Turn, status: int) -> None:
+    async def _serve_refusal(
+        self, turn: pipelined_request.PipelinedRequest, status: int
+    ) -> None:
         await turn.refuse(status, is_known=False)
         self._served()
 
     async def _replace(
-        self, turn: turns.Turn, status: int, reason: str
+        self, turn: pipelined_request.PipelinedRequest, status: int, reason: str
     ) -> None:
         """Answer for the app, or cut what has begun."""
         event = "answer-cut" if turn.begun else "answer-replaced"
@@ -349,7 +364,7 @@
                 self.end()
                 await trio.lowlevel.checkpoint()
 
-    async def feed(self, turn: turns.Turn) -> None:
+    async def feed(self, turn: pipelined_request.PipelinedRequest) -> None:
         """Give the turn's parser more of the body, once there is more."""
         while not self._held:
             self._arrived = trio.Event()
@@ -358,13 +373,13 @@
         self._held.clear()
         self._drained.set()
 
-    def body_read(self, turn: turns.Turn) -> None:
+    def body_read(self, turn: pipelined_request.PipelinedRequest) -> None:
         """Go on with the request behind an upload that is whole."""
         self._uploading = None
         self._next_parser(turn)
         self._advance()
 
-    def closes_after(self, turn: turns.Turn) -> bool:
+    def closes_after(self, turn: pipelined_request.PipelinedRequest) -> bool:
         """Return whether the turn's answer is the connection's last.
 
         What was started behind it is answered first, so that the close stands
@@ -379,7 +394,7 @@
             self._waiting = self._uploading = None
         return True
 
-    def answered(self, turn: turns.Turn) -> None:
+    def answered(self, turn: pipelined_request.PipelinedRequest) -> None:
         """Let the next answer leave, and the next request start."""
         self._turns.popleft()
         self.idle_since = trio.current_time()
@@ -402,7 +417,7 @@
             )
 
 
-def _may_follow(turn: turns.Turn) -> bool:
+def _may_follow(turn: pipelined_request.PipelinedRequest) -> bool:
     """Return whether another request may follow a turn's on its connection.
 
     None may behind one that is not whole, asks for the close, or offers to
--- a/hyssopfold/serving/turns.py
+++ b/hyssopfold/serving/pipelined_request.py
@@ -15,13 +15,13 @@
 
 from hyssopfold.serving import refusals
 
-# Name of a turn's `Place` among the extensions of an ASGI scope.
+# Name of a turn's `PipelinePosition` among the extensions of an ASGI scope.
 PLACE = "hyssop.place"
 # Statuses of answers that have no body.
 _BODILESS = (204, 304)
 
 
-class Place:
+class PipelinePosition:
     """Where a request stood on its connection.
 
     `read_at` is when its head was whole, `ahead` how many requests before it
@@ -44,37 +44,37 @@
         return before + self.written_at - self.ready_at
 
 
-class Peers(NamedTuple):
+class ConnectionEndpoints(NamedTuple):
     """Both ends of a connection, as ASGI names them."""
 
     client: tuple[str, int]
     server: tuple[str, int]
 
 
-class Line(Protocol):
+class ConnectionWriter(Protocol):
     """What a turn asks of its connection."""
 
     async def write(self, data: bytes) -> None:
         """Write bytes of the answer at the front."""
 
-    async def feed(self, turn: "Turn") -> None:
+    async def feed(self, turn: "PipelinedRequest") -> None:
         """Give the turn's parser more of the body, once there is more."""
 
-    def body_read(self, turn: "Turn") -> None:
+    def body_read(self, turn: "PipelinedRequest") -> None:
         """Note that the turn's body is whole."""
 
-    def closes_after(self, turn: "Turn") -> bool:
+    def closes_after(self, turn: "PipelinedRequest") -> bool:
         """Return whether the turn's answer is the connection's last."""
 
-    def answered(self, turn: "Turn") -> None:
+    def answered(self, turn: "PipelinedRequest") -> None:
         """Note that the turn's answer has left."""
 
 
-class Turn:
+class PipelinedRequest:
     """One request and its answer.
 
     Args:
-        line: The connection.
+        writer: The connection.
         parser: Read the request's head, and writes its answer.
         scope: The request as ASGI names it.
         whole: Whether the request has no body.
@@ -82,12 +82,12 @@
 
     def __init__(
         self,
-        line: Line,
+        writer: ConnectionWriter,
         parser: h11.Connection,
         scope: dict[str, Any],
         whole: bool,
     ) -> None:
-        self._line = line
+        self._writer = writer
         self.parser = parser
         self.scope = scope
         self.whole = whole
@@ -104,9 +104,9 @@
         self._told_end = False
 
     @property
-    def place(self) -> Place:
+    def place(self) -> PipelinePosition:
         """Return where the request stood on its connection."""
-        place: Place = self.scope["extensions"][PLACE]
+        place: PipelinePosition = self.scope["extensions"][PLACE]
         return place
 
     async def receive(self) -> dict[str, Any]:
@@ -124,7 +124,7 @@
     async def _next_part(self) -> dict[str, Any]:
         try:
             while (event := self.parser.next_event()) is h11.NEED_DATA:
-                await self._line.feed(self)
+                await self._writer.feed(self)
         except h11.RemoteProtocolError as exc:
             self.fault = exc.error_status_hint
             self.cancel_scope.cancel()
@@ -134,7 +134,7 @@
             return {"type": "http.request", "body": body, "more_body": True}
         self.whole = True
         self._told_end = True
-        self._line.body_read(self)
+        self._writer.body_read(self)
         return {"type": "http.request", "body": b"", "more_body": False}
 
     async def _wait_for_end(self) -> dict[str, Any]:
@@ -164,7 +164,7 @@
             await self._write(data)
         if not message.get("more_body", False):
             self.finished = True
-            self._line.answered(self)
+            self._writer.answered(self)
 
     def _framed(self, message: dict[str, Any]) -> bytes:
         data = b""
@@ -187,13 +187,13 @@
         headers = list(start.get("headers", ()))
         if not any(name == b"date" for name, _ in headers):
             headers.append((b"date", _date()))
-        if self._line.closes_after(self):
+        if self._writer.closes_after(self):
             headers.append((b"connection", b"close"))
         head = h11.Response(status_code=status, headers=headers)
         return self.parser.send(head) or b""
 
     async def _write(self, data: bytes | None) -> None:
-        await self._line.write(data or b"")
+        await self._writer.write(data or b"")
 
     async def refuse(self, status: int, is_known: bool) -> None:
         """Answer with a refusal of ours, in the request's place."""
@@ -201,7 +201,9 @@
             await self.send(message)
 
 
-def scope_of(req: h11.Request, peers: Peers, place: Place) -> dict[str, Any]:
+def asgi_scope(
+    req: h11.Request, endpoints: ConnectionEndpoints, place: PipelinePosition
+) -> dict[str, Any]:
     """Return a request as ASGI names it."""
     path, _, query = req.target.partition(b"?")
     return {
@@ -216,8 +218,8 @@
         "root_path": "",
         # What `upgrade` asks for is never done: nothing is to see it.
         "headers": [one for one in req.headers if one[0] != b"upgrade"],
-        "client": peers.client,
-        "server": peers.server,
+        "client": endpoints.client,
+        "server": endpoints.server,
         "extensions": {PLACE: place},
     }
 
