--- a/hyssopfold/serving/connection.py
+++ b/hyssopfold/serving/connection.py
@@ -121,7 +121,7 @@
 
     async def _read(self) -> None:
         while True:
-            while len(self._held) >= self._limits.ahead_bytes:
+            while len(self._held) >= self._limits.max_buffered_bytes:
                 self._drained = trio.Event()
                 await self._drained.wait()
             with trio.CancelScope(deadline=self._read_by()) as limit:
@@ -163,7 +163,7 @@
         if self._waiting is not None:
             # A caller whose upload waits for its turn does not stall.
             return _NEVER
-        return trio.current_time() + self._limits.stall_s
+        return trio.current_time() + self._limits.stall_timeout_s
 
     # From bytes to requests.
 
@@ -185,7 +185,7 @@
             return False
         # h11 bounds only a head that is not whole yet: it gets no more than
         # shows one to be too long.
-        room = self._limits.header_bytes + 1 - self._fed
+        room = self._limits.max_header_bytes + 1 - self._fed
         part = bytes(self._held[:room])
         del self._held[:room]
         self._fed += len(part)
@@ -199,7 +199,7 @@
         if not isinstance(event, h11.Request):
             if self._head_by == _NEVER:
                 now = trio.current_time()
-                self._head_by = now + self._limits.header_s
+                self._head_by = now + self._limits.header_timeout_s
             return False
         self._waiting = self._turn(event)
         return True
@@ -231,7 +231,7 @@
         self._fed = 0
 
     def _new_parser(self) -> h11.Connection:
-        most = self._limits.header_bytes
+        most = self._limits.max_header_bytes
         return h11.Connection(h11.SERVER, max_incomplete_event_size=most)
 
     def _may_start(self, turn: pipelined_request.PipelinedRequest) -> bool:
@@ -244,7 +244,7 @@
         """
         if not self._turns:
             return True
-        if self._owner.closing or len(self._turns) > self._limits.ahead:
+        if self._owner.closing or len(self._turns) > self._limits.max_pipelined:
             return False
         beside = self._owner.runs_beside
         return beside(turn.scope) and beside(self._turns[-1].scope)
@@ -330,8 +330,8 @@
 
     def _linger_s(self) -> float:
         if self._uploading is not None:
-            return self._limits.linger_s
-        return min(CLOSE_LINGER_S, self._limits.linger_s)
+            return self._limits.linger_timeout_s
+        return min(CLOSE_LINGER_S, self._limits.linger_timeout_s)
 
     async def _end_sending(self) -> None:
         """Tell the caller that no more comes; what it still sends is dropped.
@@ -352,7 +352,7 @@
         """Write bytes of the answer at the front."""
         async with self._send_lock:
             try:
-                with trio.fail_after(self._limits.stall_s):
+                with trio.fail_after(self._limits.stall_timeout_s):
                     await self._stream.send_all(data)
             except (
                 trio.TooSlowError,
--- a/hyssopfold/serving/limits.py
+++ b/hyssopfold/serving/limits.py
@@ -1,29 +1,38 @@
-"""What one caller may take of a listener."""
+"""Limits on the resources that callers use of a listener."""
 
 from typing import NamedTuple
 
 
 class Limits(NamedTuple):
-    """What one caller may take; times are in seconds.
+    """Limits of a listener on its callers.
 
-    `header_s` is the time for a whole request head, `idle_s` how long a
-    connection may wait between requests, `stall_s` how long an upload or a
-    download may make no progress, `linger_s` how long the rest of a request
-    is read away after an early answer. Of the requests that a caller sends
-    before the earlier ones are answered, `ahead` are served beside the first
-    and `ahead_bytes` are read; what comes beyond waits in the network.
+    Attributes:
+        max_header_bytes: Size of a request head.
+        header_timeout_s: Seconds until a request head must be complete.
+        idle_timeout_s: Seconds that a connection may stay open without a
+            request.
+        stall_timeout_s: Seconds that an upload or a download may make no
+            progress.
+        linger_timeout_s: Seconds for which the rest of a request is read and
+            discarded after an early answer.
+        max_connections: Open connections of all callers.
+        max_connections_per_caller: Open connections of one caller.
+        max_pipelined: Of the requests that a caller pipelines, how many run
+            concurrently with the first one. Further ones are not started.
+        max_buffered_bytes: Unparsed bytes read of a connection. Further ones
+            stay in the buffers of the network.
     """
 
-    header_bytes: int = 16_384
-    header_s: float = 10.0
-    idle_s: float = 75.0
-    stall_s: float = 60.0
-    linger_s: float = 5.0
-    connections: int = 10_000
-    connections_per_caller: int = 1_000
-    ahead: int = 8
-    ahead_bytes: int = 65_536
+    max_header_bytes: int = 16_384
+    header_timeout_s: float = 10.0
+    idle_timeout_s: float = 75.0
+    stall_timeout_s: float = 60.0
+    linger_timeout_s: float = 5.0
+    max_connections: int = 10_000
+    max_connections_per_caller: int = 1_000
+    max_pipelined: int = 8
+    max_buffered_bytes: int = 65_536
 
 
 class CutAnswerError(Exception):
-    """An answer that has begun can't be made whole."""
+    """An answer that has begun can't be completed."""
--- a/hyssopfold/serving/listening.py
+++ b/hyssopfold/serving/listening.py
@@ -59,8 +59,8 @@
         """
         caller = _caller_of(stream)
         mine = self._by_caller[caller]
-        full = len(self._open) >= self.limits.connections
-        if full or mine >= self.limits.connections_per_caller:
+        full = len(self._open) >= self.limits.max_connections
+        if full or mine >= self.limits.max_connections_per_caller:
             logger.warning(
                 logs.Event("connection-refused", caller=caller, open=mine)
             )
@@ -105,8 +105,8 @@
     async def sweep(self) -> None:
         """Close connections that are idle for too long, for ever."""
         while True:
-            await trio.sleep(min(1.0, self.limits.idle_s / 4))
-            self.close_idle(self.limits.idle_s, trio.current_time())
+            await trio.sleep(min(1.0, self.limits.idle_timeout_s / 4))
+            self.close_idle(self.limits.idle_timeout_s, trio.current_time())
 
 
 def _caller_of(stream: trio.SocketStream) -> str:
--- a/hyssopfold/settings.py
+++ b/hyssopfold/settings.py
@@ -99,12 +99,12 @@
     def limits(self) -> serving.Limits:
         """Return what one caller may take."""
         return serving.Limits(
-            header_bytes=self.max_header_bytes,
-            header_s=self.header_timeout_s,
-            idle_s=self.idle_timeout_s,
-            stall_s=self.stall_timeout_s,
-            connections=self.max_connections,
-            connections_per_caller=self.max_connections_per_caller,
+            max_header_bytes=self.max_header_bytes,
+            header_timeout_s=self.header_timeout_s,
+            idle_timeout_s=self.idle_timeout_s,
+            stall_timeout_s=self.stall_timeout_s,
+            max_connections=self.max_connections,
+            max_connections_per_caller=self.max_connections_per_caller,
         )
 
 
--- a/tests/steps/serving/connection_steps.py
+++ b/tests/steps/serving/connection_steps.py
@@ -10,7 +10,10 @@
 
 _MB = 1_000_000
 _LIMITS = serving.Limits(
-    header_s=0.2, stall_s=0.3, linger_s=0.5, connections_per_caller=4
+    header_timeout_s=0.2,
+    stall_timeout_s=0.3,
+    linger_timeout_s=0.5,
+    max_connections_per_caller=4,
 )
 _GET = b"GET /x HTTP/1.1\r\nhost: a\r\n"
 _POST = b"POST /x HTTP/1.1\r\nhost: a\r\n"
--- a/tests/steps/serving/pipelines_steps.py
+++ b/tests/steps/serving/pipelines_steps.py
@@ -351,7 +351,9 @@
             fixture.started.clear()
         return pairs
 
-    _run(context, step, serving.Limits(ahead=4, ahead_bytes=3000))
+    _run(
+        context, step, serving.Limits(max_pipelined=4, max_buffered_bytes=3000)
+    )
 
 
 @then("each gives the answers of its requests sent one by one")
