--- a/hyssopfold/application.py
+++ b/hyssopfold/application.py
@@ -103,7 +103,7 @@
     listener = serving.Listener(
         entry.apps[cfg.http_address],
         cfg.limits,
-        entry.parts.forward.runs_beside,
+        entry.parts.forward.may_run_concurrently,
     )
     leave = entry.leave(listener)
     await _run_daemon(
--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -187,7 +187,7 @@
             goal_s = route.latency_goal_ms / 1000 if route else 0.0
             self._log_end(exchange, took, goal_s)
 
-    def runs_beside(self, scope: http.Scope) -> bool:
+    def may_run_concurrently(self, scope: http.Scope) -> bool:
         """Return whether a request may run beside others of its connection.
 
         It may where it may be repeated: the caller has not waited for what
--- a/hyssopfold/serving/connection.py
+++ b/hyssopfold/serving/connection.py
@@ -32,14 +32,14 @@
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
-class Owner(Protocol):
+class ListenerState(Protocol):
     """The listener, as a connection sees it."""
 
     app: Any
     limits: limits_module.Limits
     closing: bool
 
-    def runs_beside(self, scope: dict[str, Any]) -> bool:
+    def may_run_concurrently(self, scope: dict[str, Any]) -> bool:
         """Return whether a request may be served beside others."""
 
 
@@ -47,13 +47,15 @@
     """One connection of a caller.
 
     Args:
-        owner: The listener that it belongs to.
+        listener: The listener that it belongs to.
         stream: The connection, owned from now on.
     """
 
-    def __init__(self, owner: Owner, stream: trio.SocketStream) -> None:
-        self._owner = owner
-        self._limits = owner.limits
+    def __init__(
+        self, listener: ListenerState, stream: trio.SocketStream
+    ) -> None:
+        self._listener = listener
+        self._limits = listener.limits
         self._stream = stream
         self._send_lock = trio.Lock()
         self._scope = trio.CancelScope()
@@ -244,9 +246,12 @@
         """
         if not self._turns:
             return True
-        if self._owner.closing or len(self._turns) > self._limits.max_pipelined:
+        if (
+            self._listener.closing
+            or len(self._turns) > self._limits.max_pipelined
+        ):
             return False
-        beside = self._owner.runs_beside
+        beside = self._listener.may_run_concurrently
         return beside(turn.scope) and beside(self._turns[-1].scope)
 
     def _start(self, turn: pipelined_request.PipelinedRequest) -> None:
@@ -287,7 +292,7 @@
         status = 500
         try:
             with turn.cancel_scope:
-                await self._owner.app(turn.scope, turn.receive, turn.send)
+                await self._listener.app(turn.scope, turn.receive, turn.send)
         except limits_module.CutAnswerError as exc:
             reason, status = str(exc), 502
         except Exception:
@@ -387,7 +392,7 @@
         """
         if turn is not self._turns[-1]:
             return False
-        if _may_follow(turn) and not self._owner.closing:
+        if _may_follow(turn) and not self._listener.closing:
             return False
         self._last = True
         if self._waiting is not None:
--- a/hyssopfold/serving/listening.py
+++ b/hyssopfold/serving/listening.py
@@ -14,7 +14,7 @@
 logger = logging.getLogger(__name__)
 
 
-def _never(scope: dict[str, Any]) -> bool:
+def _run_alone(scope: dict[str, Any]) -> bool:
     return False
 
 
@@ -24,7 +24,7 @@
     Args:
         app: ASGI application.
         limits: What a caller may take.
-        runs_beside: Tells of a request, as ASGI names it, whether it may be
+        may_run_concurrently: Tells of a request, as ASGI names it, whether it may be
             served beside others of its connection.
     """
 
@@ -32,11 +32,11 @@
         self,
         app: Any,
         limits: limits_module.Limits,
-        runs_beside: Callable[[dict[str, Any]], bool] = _never,
+        may_run_concurrently: Callable[[dict[str, Any]], bool] = _run_alone,
     ) -> None:
         self.app = app
         self.limits = limits
-        self.runs_beside = runs_beside
+        self.may_run_concurrently = may_run_concurrently
         self.closing = False
         self._open: set[connection.Connection] = set()
         self._by_caller: Counter[str] = Counter()
--- a/tests/steps/entry/behind_steps.py
+++ b/tests/steps/entry/behind_steps.py
@@ -48,7 +48,7 @@
 
     async def main():
         path = datapath.DataPath(3, service_s=context.behind_service_s)
-        path.listener.runs_beside = path.proxy.runs_beside
+        path.listener.may_run_concurrently = path.proxy.may_run_concurrently
         path.placement.rotate = True
         async with path.running():
             stream = await path.connect()
@@ -92,4 +92,4 @@
     method, headers = _SCOPES[what]
     scope = {"method": method, "path": "/x", "headers": headers}
     path = datapath.DataPath(1)
-    assert path.proxy.runs_beside(scope) == (answer == "yes")
+    assert path.proxy.may_run_concurrently(scope) == (answer == "yes")
