--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -230,7 +230,7 @@
     ) -> None:
         position = exchange.pipeline_position
         behind_s = position.behind_s if position is not None else 0.0
-        if position is not None and position.ahead:
+        if position is not None and position.requests_ahead:
             self._meter.behind.observe({}, behind_s)
         exchange.log.add(
             logger,
@@ -238,7 +238,7 @@
             outcome=exchange.outcome,
             status=exchange.status,
             took_s=round(took_s, 4),
-            ahead=position.ahead if position is not None else 0,
+            ahead=position.requests_ahead if position is not None else 0,
             behind_s=round(behind_s, 4),
             goal_s=goal_s,
             fingerprint=exchange.fingerprint.hex(),
--- a/hyssopfold/serving/__init__.py
+++ b/hyssopfold/serving/__init__.py
@@ -1,7 +1,8 @@
-"""HTTP connections of callers: limits, order of answers, planned stops.
+"""HTTP/1.1 connections of callers: limits, pipelining, planned stops.
 
-`limits` says what one caller may take, `listening` keeps the connections,
-`connection` reads the requests of one, `pipelined_request` answers each in its place.
+`limits` defines what callers may use, `listening` keeps the open connections,
+`connection` reads the requests of one of them, and `pipelined_request` passes
+each to the app and writes the answers in order.
 """
 
 from hyssopfold.serving import limits
--- a/hyssopfold/serving/connection.py
+++ b/hyssopfold/serving/connection.py
@@ -1,9 +1,9 @@
-"""One caller's connection: reads its requests, keeps their answers in order.
+"""A caller's HTTP/1.1 connection: reads requests, orders their answers.
 
-Each request has a parser of its own, which also writes its answer: requests
-that may be repeated are read and served while earlier ones are not answered
-yet. One task reads, each request is served by a task of its own, and only the
-one whose answer is due writes.
+Each request has its own parser, which also encodes its answer: requests that
+may be repeated are read and served while earlier ones are still unanswered.
+One task reads, a separate task serves each request, and only the task whose
+answer is due writes.
 """
 
 import collections
@@ -24,31 +24,35 @@
 logger = logging.getLogger(__name__)
 
 MAX_READ_BYTES = 65_536
-# After an announced close: as long as requests that were on their way need to
-# arrive. Closed with bytes unread, the kernel would reset the connection, and
-# the caller might lose the answer that it has not read yet.
+# Time between an answer with `connection: close` and the close: requests that
+# the caller had already sent arrive within it. If the socket were closed with
+# unread bytes, the kernel would reset the connection, and the caller could
+# lose an answer that it has not read yet.
 CLOSE_LINGER_S = 0.5
 _NEVER = float("inf")
 _RESET_ON_CLOSE = struct.pack("ii", 1, 0)
 
 
 class ListenerState(Protocol):
-    """The listener, as a connection sees it."""
+    """The attributes of a listener that its connections use."""
 
     app: Any
     limits: limits_module.Limits
     closing: bool
 
     def may_run_concurrently(self, scope: dict[str, Any]) -> bool:
-        """Return whether a request may be served beside others."""
+        """Return whether a request may run concurrently with others."""
 
 
 class Connection:
-    """One connection of a caller.
+    """A caller's connection to a listener, which creates and runs it.
 
     Args:
-        listener: The listener that it belongs to.
-        stream: The connection, owned from now on.
+        listener: The listener that accepted the connection.
+        stream: The stream. The instance takes ownership of it.
+
+    Attributes:
+        idle_since: Time at which bytes last arrived or an answer was complete.
     """
 
     def __init__(
@@ -58,47 +62,51 @@
         self._limits = listener.limits
         self._stream = stream
         self._send_lock = trio.Lock()
-        self._scope = trio.CancelScope()
-        self._group: trio.Nursery
-        self._peers: pipelined_request.ConnectionEndpoints
+        self._cancel_scope = trio.CancelScope()
+        self._nursery: trio.Nursery
+        self._endpoints: pipelined_request.ConnectionEndpoints
         self.idle_since = trio.current_time()
-        # Bytes that no parser has taken.
-        self._held = bytearray()
+        # Bytes that were read and not yet passed to a parser.
+        self._unparsed = bytearray()
         self._parser = self._new_parser()
-        self._fed = 0
-        self._head_by = _NEVER
-        # The request whose head is read and that may not start yet.
-        self._waiting: pipelined_request.PipelinedRequest | None = None
+        # Bytes of the current head that were passed to the parser.
+        self._parser_bytes = 0
+        self._head_deadline = _NEVER
+        # A request with a complete head that may not start yet.
+        self._waiting_request: pipelined_request.PipelinedRequest | None = None
         # The request whose body is still being read.
-        self._uploading: pipelined_request.PipelinedRequest | None = None
-        # Requests started and not answered, in the order of their answers.
-        self._turns: collections.deque[pipelined_request.PipelinedRequest] = (
-            collections.deque()
+        self._uploading_request: pipelined_request.PipelinedRequest | None = (
+            None
         )
-        self._running = 0
-        # Whether no more requests are taken, and nobody is left to answer.
-        self._last = False
-        self._lingering = False
-        self._linger_by = _NEVER
-        self._read_limit = trio.CancelScope()
-        self._arrived = trio.Event()
-        self._drained = trio.Event()
-        self._cut = False
+        # Started and unanswered requests, in the order of their answers.
+        self._unanswered: collections.deque[
+            pipelined_request.PipelinedRequest
+        ] = collections.deque()
+        self._running_requests = 0
+        # Whether no further requests are accepted.
+        self._is_closing = False
+        # Whether all answers were sent, and input is only discarded.
+        self._is_lingering = False
+        self._linger_deadline = _NEVER
+        self._read_scope = trio.CancelScope()
+        self._data_arrived = trio.Event()
+        self._buffer_drained = trio.Event()
+        self._is_cut = False
 
     @property
     def requests(self) -> int:
-        """Return the number of requests under way."""
-        return len(self._turns)
+        """Return the number of started and unanswered requests."""
+        return len(self._unanswered)
 
     async def run(self) -> None:
-        """Read requests and have them answered until the connection ends."""
+        """Read and serve requests until the connection ends."""
         sock = self._stream.socket
         try:
-            self._peers = pipelined_request.ConnectionEndpoints(
+            self._endpoints = pipelined_request.ConnectionEndpoints(
                 sock.getpeername()[:2], sock.getsockname()[:2]
             )
-            with self._scope:
-                async with trio.open_nursery() as self._group:
+            with self._cancel_scope:
+                async with trio.open_nursery() as self._nursery:
                     await self._read()
         except OSError as exc:
             logger.debug(logs.Event("connection-lost", error=repr(exc)))
@@ -106,40 +114,46 @@
             self._abort_if_cut()
             await trio.aclose_forcefully(self._stream)
 
-    def end(self) -> None:
-        """Close the connection now, and cancel what is under way on it."""
-        self._scope.cancel()
+    def close(self) -> None:
+        """Close the connection at once, and cancel its requests."""
+        self._cancel_scope.cancel()
 
     def is_idle(self) -> bool:
-        """Return whether no byte of a request has come on it."""
-        if self._running or self._waiting or self._held or self._fed:
+        """Return whether no request runs and no byte of one has arrived."""
+        if (
+            self._running_requests
+            or self._waiting_request
+            or self._unparsed
+            or self._parser_bytes
+        ):
             return False
         sock = self._stream.socket
-        # One that has just ended is closed, but not yet out of the set; to
-        # ask its socket would fail, and end the listener with all others.
+        # A connection that has just ended is closed but still in the
+        # listener's set. Polling its socket would raise an error that ends the
+        # listener and all other connections.
         return sock.fileno() >= 0 and not sock.is_readable()
 
     # Reading.
 
     async def _read(self) -> None:
         while True:
-            while len(self._held) >= self._limits.max_buffered_bytes:
-                self._drained = trio.Event()
-                await self._drained.wait()
-            with trio.CancelScope(deadline=self._read_by()) as limit:
-                self._read_limit = limit
+            while len(self._unparsed) >= self._limits.max_buffered_bytes:
+                self._buffer_drained = trio.Event()
+                await self._buffer_drained.wait()
+            with trio.CancelScope(deadline=self._read_deadline()) as read_scope:
+                self._read_scope = read_scope
                 data = await self._receive()
-            if limit.cancelled_caught:
-                if self._lingering or self._uploading is not None:
+            if read_scope.cancelled_caught:
+                if self._is_lingering or self._uploading_request is not None:
                     break
                 self._refuse(408)
                 continue
             if not data:
                 break
-            self._take(data)
-        # The caller has left or stalled: its requests are cancelled, and with
-        # them the connections to backend servers, which see them close.
-        self.end()
+            self._process_data(data)
+        # The caller has disconnected or stalled. Cancelling its requests also
+        # closes their connections to backend servers.
+        self.close()
 
     async def _receive(self) -> bytes | bytearray:
         try:
@@ -148,49 +162,52 @@
             logger.debug(logs.Event("connection-lost", error=repr(exc)))
             return b""
 
-    def _take(self, data: bytes | bytearray) -> None:
+    def _process_data(self, data: bytes | bytearray) -> None:
         self.idle_since = trio.current_time()
-        if self._lingering or (self._last and self._uploading is None):
-            # The caller is told that none of this is read.
+        if self._is_lingering or (
+            self._is_closing and self._uploading_request is None
+        ):
+            # The answer with `connection: close` tells the caller that this
+            # data is not processed.
             return
-        self._held += data
-        self._arrived.set()
-        self._advance()
-
-    def _read_by(self) -> float:
-        if self._lingering:
-            return self._linger_by
-        if self._uploading is None:
-            return self._head_by
-        if self._waiting is not None:
-            # A caller whose upload waits for its turn does not stall.
+        self._unparsed += data
+        self._data_arrived.set()
+        self._start_requests()
+
+    def _read_deadline(self) -> float:
+        if self._is_lingering:
+            return self._linger_deadline
+        if self._uploading_request is None:
+            return self._head_deadline
+        if self._waiting_request is not None:
+            # The upload waits for earlier requests; the caller is not stalled.
             return _NEVER
         return trio.current_time() + self._limits.stall_timeout_s
 
-    # From bytes to requests.
+    # Parsing.
 
-    def _advance(self) -> None:
-        """Start the requests that have come, as far as they may start."""
-        while self._waiting is not None or self._parse():
-            turn = self._waiting
-            if turn is None or not self._may_start(turn):
+    def _start_requests(self) -> None:
+        """Parse the received bytes and start the requests that may start."""
+        while self._waiting_request is not None or self._parse_head():
+            request = self._waiting_request
+            if request is None or not self._may_start(request):
                 break
-            self._waiting = None
-            self._start(turn)
-        self._read_limit.deadline = self._read_by()
+            self._waiting_request = None
+            self._start(request)
+        self._read_scope.deadline = self._read_deadline()
 
-    def _parse(self) -> bool:
-        """Return whether the head of one more request is whole."""
-        if self._last or self._uploading is not None:
+    def _parse_head(self) -> bool:
+        """Parse the next head, and return whether it is complete."""
+        if self._is_closing or self._uploading_request is not None:
             return False
-        if not self._held and not self._fed:
+        if not self._unparsed and not self._parser_bytes:
             return False
-        # h11 bounds only a head that is not whole yet: it gets no more than
-        # shows one to be too long.
-        room = self._limits.max_header_bytes + 1 - self._fed
-        part = bytes(self._held[:room])
-        del self._held[:room]
-        self._fed += len(part)
+        # h11 limits the size of an incomplete head only, so it is passed at
+        # most one byte more than the limit.
+        room = self._limits.max_header_bytes + 1 - self._parser_bytes
+        part = bytes(self._unparsed[:room])
+        del self._unparsed[:room]
+        self._parser_bytes += len(part)
         try:
             if part:
                 self._parser.receive_data(part)
@@ -199,162 +216,176 @@
             self._refuse(exc.error_status_hint)
             return False
         if not isinstance(event, h11.Request):
-            if self._head_by == _NEVER:
+            if self._head_deadline == _NEVER:
                 now = trio.current_time()
-                self._head_by = now + self._limits.header_timeout_s
+                self._head_deadline = now + self._limits.header_timeout_s
             return False
-        self._waiting = self._turn(event)
+        self._waiting_request = self._new_request(event)
         return True
 
-    def _turn(self, req: h11.Request) -> pipelined_request.PipelinedRequest:
-        """Return the turn of a request whose head is read."""
-        place = pipelined_request.PipelinePosition(
-            trio.current_time(), len(self._turns)
+    def _new_request(
+        self, head: h11.Request
+    ) -> pipelined_request.PipelinedRequest:
+        """Return a request whose head was read."""
+        position = pipelined_request.PipelinePosition(
+            trio.current_time(), len(self._unanswered)
         )
-        scope = pipelined_request.asgi_scope(req, self._peers, place)
-        turn = pipelined_request.PipelinedRequest(
-            self, self._parser, scope, whole=_is_bodiless(req)
+        scope = pipelined_request.asgi_scope(head, self._endpoints, position)
+        request = pipelined_request.PipelinedRequest(
+            self, self._parser, scope, body_complete=_is_bodiless(head)
         )
-        if turn.whole:
+        if request.body_complete:
             self._parser.next_event()
-            self._next_parser(turn)
+            self._replace_parser(request)
         else:
-            self._uploading = turn
-        self._head_by = _NEVER
-        return turn
-
-    def _next_parser(self, turn: pipelined_request.PipelinedRequest) -> None:
-        """Leave the turn's parser, with its request whole, for a new one."""
-        rest, _ = turn.parser.trailing_data
-        self._held[:0] = rest
-        if not _may_follow(turn):
-            self._last = True
+            self._uploading_request = request
+        self._head_deadline = _NEVER
+        return request
+
+    def _replace_parser(
+        self, request: pipelined_request.PipelinedRequest
+    ) -> None:
+        """Create a parser for the next request after a complete one."""
+        trailing_data, _ = request.parser.trailing_data
+        self._unparsed[:0] = trailing_data
+        if not _allows_next_request(request):
+            self._is_closing = True
         self._parser = self._new_parser()
-        self._fed = 0
+        self._parser_bytes = 0
 
     def _new_parser(self) -> h11.Connection:
-        most = self._limits.max_header_bytes
-        return h11.Connection(h11.SERVER, max_incomplete_event_size=most)
+        max_bytes = self._limits.max_header_bytes
+        return h11.Connection(h11.SERVER, max_incomplete_event_size=max_bytes)
 
-    def _may_start(self, turn: pipelined_request.PipelinedRequest) -> bool:
-        """Return whether a request may start beside those under way.
+    def _may_start(self, request: pipelined_request.PipelinedRequest) -> bool:
+        """Return whether a request may start now.
 
-        One that may not be repeated starts once all before it are answered,
-        and what stands behind it may be meant to see what it did. In a stop
-        those under way are the last: only then the close, told with the last
-        answer, tells the caller what was not read.
+        A request that may not be repeated starts once all earlier ones are
+        answered, and later ones wait for it, since the caller may expect them
+        to see its effects. During a planned stop no further requests start:
+        `connection: close` on the last answer then tells the caller that all
+        later requests were not processed.
         """
-        if not self._turns:
+        if not self._unanswered:
             return True
         if (
             self._listener.closing
-            or len(self._turns) > self._limits.max_pipelined
+            or len(self._unanswered) > self._limits.max_pipelined
         ):
             return False
-        beside = self._listener.may_run_concurrently
-        return beside(turn.scope) and beside(self._turns[-1].scope)
+        may_run_concurrently = self._listener.may_run_concurrently
+        return may_run_concurrently(request.scope) and may_run_concurrently(
+            self._unanswered[-1].scope
+        )
 
-    def _start(self, turn: pipelined_request.PipelinedRequest) -> None:
-        turn.place.started_at = trio.current_time()
-        self._queue(turn)
-        self._group.start_soon(self._serve, turn)
-        self._drained.set()
+    def _start(self, request: pipelined_request.PipelinedRequest) -> None:
+        request.position.started_at = trio.current_time()
+        self._queue(request)
+        self._nursery.start_soon(self._serve, request)
+        self._buffer_drained.set()
 
-    def _queue(self, turn: pipelined_request.PipelinedRequest) -> None:
-        self._running += 1
-        self._turns.append(turn)
-        if self._turns[0] is turn:
-            turn.front.set()
+    def _queue(self, request: pipelined_request.PipelinedRequest) -> None:
+        self._running_requests += 1
+        self._unanswered.append(request)
+        if self._unanswered[0] is request:
+            request.answer_due.set()
 
     def _refuse(self, status: int) -> None:
-        """Answer what is no request in its place; take no more."""
-        self._last = True
-        self._held.clear()
-        self._fed = 0
-        self._head_by = _NEVER
-        place = pipelined_request.PipelinePosition(
-            trio.current_time(), len(self._turns)
+        """Answer malformed input in its position, and read no more requests."""
+        self._is_closing = True
+        self._unparsed.clear()
+        self._parser_bytes = 0
+        self._head_deadline = _NEVER
+        position = pipelined_request.PipelinePosition(
+            trio.current_time(), len(self._unanswered)
         )
         scope = {
             "method": "GET",
-            "extensions": {pipelined_request.PLACE: place},
+            "extensions": {pipelined_request.PLACE: position},
         }
-        turn = pipelined_request.PipelinedRequest(
-            self, self._parser, scope, whole=False
+        request = pipelined_request.PipelinedRequest(
+            self, self._parser, scope, body_complete=False
         )
-        self._queue(turn)
-        self._group.start_soon(self._serve_refusal, turn, status)
+        self._queue(request)
+        self._nursery.start_soon(self._serve_refusal, request, status)
 
     # Serving.
 
-    async def _serve(self, turn: pipelined_request.PipelinedRequest) -> None:
-        reason = "no whole answer"
+    async def _serve(self, request: pipelined_request.PipelinedRequest) -> None:
+        reason = "no complete answer"
         status = 500
         try:
-            with turn.cancel_scope:
-                await self._listener.app(turn.scope, turn.receive, turn.send)
+            with request.cancel_scope:
+                await self._listener.app(
+                    request.scope, request.receive, request.send
+                )
         except limits_module.CutAnswerError as exc:
             reason, status = str(exc), 502
         except Exception:
-            path = turn.scope["path"]
+            path = request.scope["path"]
             logger.exception(logs.Event("app-failed", path=path))
-        if not turn.finished:
-            await self._replace(turn, turn.fault or status, reason)
-        self._served()
+        if not request.answer_finished:
+            await self._handle_failure(
+                request, request.error_status or status, reason
+            )
+        self._on_request_done()
 
     async def _serve_refusal(
-        self, turn: pipelined_request.PipelinedRequest, status: int
+        self, request: pipelined_request.PipelinedRequest, status: int
     ) -> None:
-        await turn.refuse(status, is_known=False)
-        self._served()
-
-    async def _replace(
-        self, turn: pipelined_request.PipelinedRequest, status: int, reason: str
+        await request.refuse(status, reached_app=False)
+        self._on_request_done()
+
+    async def _handle_failure(
+        self,
+        request: pipelined_request.PipelinedRequest,
+        status: int,
+        reason: str,
     ) -> None:
-        """Answer for the app, or cut what has begun."""
-        event = "answer-cut" if turn.begun else "answer-replaced"
+        """Answer in place of the app, or cut an answer that has begun."""
+        event = "answer-cut" if request.answer_begun else "answer-replaced"
         logger.warning(logs.Event(event, reason=reason, status=status))
-        if turn.begun:
-            self._cut = True
-            self.end()
+        if request.answer_begun:
+            self._is_cut = True
+            self.close()
         else:
-            await turn.refuse(status, is_known=True)
+            await request.refuse(status, reached_app=True)
 
-    def _served(self) -> None:
-        self._running -= 1
-        if not self._last or self._running:
+    def _on_request_done(self) -> None:
+        self._running_requests -= 1
+        if not self._is_closing or self._running_requests:
             return
-        if self._lingering:
+        if self._is_lingering:
             return
-        self._lingering = True
-        self._held.clear()
-        self._drained.set()
-        self._linger_by = trio.current_time() + self._linger_s()
-        self._read_limit.deadline = self._linger_by
-        self._group.start_soon(self._end_sending)
-
-    def _linger_s(self) -> float:
-        if self._uploading is not None:
+        self._is_lingering = True
+        self._unparsed.clear()
+        self._buffer_drained.set()
+        self._linger_deadline = trio.current_time() + self._linger_timeout_s()
+        self._read_scope.deadline = self._linger_deadline
+        self._nursery.start_soon(self._shut_down_sending)
+
+    def _linger_timeout_s(self) -> float:
+        if self._uploading_request is not None:
             return self._limits.linger_timeout_s
         return min(CLOSE_LINGER_S, self._limits.linger_timeout_s)
 
-    async def _end_sending(self) -> None:
-        """Tell the caller that no more comes; what it still sends is dropped.
+    async def _shut_down_sending(self) -> None:
+        """Shut down the sending side; input is discarded from now on.
 
-        Closed at once instead, with bytes of the caller unread, the kernel
-        would reset the connection and could destroy the last answer.
+        If the socket were closed at once with unread bytes, the kernel would
+        reset the connection and the caller could lose the last answer.
         """
         async with self._send_lock:
             try:
                 await self._stream.send_eof()
             except (trio.BrokenResourceError, trio.ClosedResourceError) as exc:
                 logger.debug(logs.Event("connection-lost", error=repr(exc)))
-                self.end()
+                self.close()
 
-    # What turns ask for.
+    # Called by the requests (pipelined_request.ConnectionWriter).
 
     async def write(self, data: bytes) -> None:
-        """Write bytes of the answer at the front."""
+        """Write bytes of the answer that is due."""
         async with self._send_lock:
             try:
                 with trio.fail_after(self._limits.stall_timeout_s):
@@ -365,56 +396,62 @@
                 trio.ClosedResourceError,
             ) as exc:
                 logger.debug(logs.Event("connection-lost", error=repr(exc)))
-                self._cut = True
-                self.end()
+                self._is_cut = True
+                self.close()
                 await trio.lowlevel.checkpoint()
 
-    async def feed(self, turn: pipelined_request.PipelinedRequest) -> None:
-        """Give the turn's parser more of the body, once there is more."""
-        while not self._held:
-            self._arrived = trio.Event()
-            await self._arrived.wait()
-        turn.parser.receive_data(bytes(self._held))
-        self._held.clear()
-        self._drained.set()
-
-    def body_read(self, turn: pipelined_request.PipelinedRequest) -> None:
-        """Go on with the request behind an upload that is whole."""
-        self._uploading = None
-        self._next_parser(turn)
-        self._advance()
-
-    def closes_after(self, turn: pipelined_request.PipelinedRequest) -> bool:
-        """Return whether the turn's answer is the connection's last.
-
-        What was started behind it is answered first, so that the close stands
-        behind the last of them.
+    async def feed_body(
+        self, request: pipelined_request.PipelinedRequest
+    ) -> None:
+        """Wait for more of a request's body and pass it to its parser."""
+        while not self._unparsed:
+            self._data_arrived = trio.Event()
+            await self._data_arrived.wait()
+        request.parser.receive_data(bytes(self._unparsed))
+        self._unparsed.clear()
+        self._buffer_drained.set()
+
+    def on_body_complete(
+        self, request: pipelined_request.PipelinedRequest
+    ) -> None:
+        """Continue with the request after a complete upload."""
+        self._uploading_request = None
+        self._replace_parser(request)
+        self._start_requests()
+
+    def closes_after(self, request: pipelined_request.PipelinedRequest) -> bool:
+        """Return whether a request's answer is the last of the connection.
+
+        Requests that have started after it are answered first: only the last
+        answer announces the close.
         """
-        if turn is not self._turns[-1]:
+        if request is not self._unanswered[-1]:
             return False
-        if _may_follow(turn) and not self._listener.closing:
+        if _allows_next_request(request) and not self._listener.closing:
             return False
-        self._last = True
-        if self._waiting is not None:
-            self._waiting = self._uploading = None
+        self._is_closing = True
+        if self._waiting_request is not None:
+            self._waiting_request = self._uploading_request = None
         return True
 
-    def answered(self, turn: pipelined_request.PipelinedRequest) -> None:
-        """Let the next answer leave, and the next request start."""
-        self._turns.popleft()
+    def on_answered(self, request: pipelined_request.PipelinedRequest) -> None:
+        """Let the next answer be written and the next request start."""
+        self._unanswered.popleft()
         self.idle_since = trio.current_time()
-        if self._turns:
-            self._turns[0].front.set()
-        self._advance()
+        if self._unanswered:
+            self._unanswered[0].answer_due.set()
+        self._start_requests()
 
     def _abort_if_cut(self) -> None:
-        """End a cut answer by a reset.
+        """Reset the connection if an answer was cut.
 
-        The orderly end of a connection is the end of an answer without a
-        length (to HTTP/1.0 callers): a cut one would pass for whole.
+        An orderly close marks the end of an answer without a length (to
+        HTTP/1.0 callers), so a cut answer would be taken for a complete one.
         """
-        unfinished = bool(self._turns) and self._turns[0].begun
-        if not (self._cut or unfinished):
+        is_unfinished = (
+            bool(self._unanswered) and self._unanswered[0].answer_begun
+        )
+        if not (self._is_cut or is_unfinished):
             return
         with contextlib.suppress(OSError):
             self._stream.socket.setsockopt(
@@ -422,17 +459,17 @@
             )
 
 
-def _may_follow(turn: pipelined_request.PipelinedRequest) -> bool:
-    """Return whether another request may follow a turn's on its connection.
+def _allows_next_request(request: pipelined_request.PipelinedRequest) -> bool:
+    """Return whether another request may follow on the connection.
 
-    None may behind one that is not whole, asks for the close, or offers to
-    switch to another protocol: what comes then might belong to that.
+    None may follow an incomplete request, a request for the close, or an offer
+    to switch protocols, since the next bytes could belong to that protocol.
     """
-    return turn.parser.their_state is h11.DONE
+    return request.parser.their_state is h11.DONE
 
 
-def _is_bodiless(req: h11.Request) -> bool:
-    for name, value in req.headers:
+def _is_bodiless(head: h11.Request) -> bool:
+    for name, value in head.headers:
         if name == b"transfer-encoding":
             return False
         if name == b"content-length" and int(value):
--- a/hyssopfold/serving/listening.py
+++ b/hyssopfold/serving/listening.py
@@ -1,4 +1,4 @@
-"""Open connections of an app, and how they are brought to an end."""
+"""Listener: the open connections of callers to an ASGI app."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -19,13 +19,18 @@
 
 
 class Listener:
-    """Open connections of an app, and how they are brought to an end.
+    """Serves the connections of callers to an ASGI app, and closes them.
 
     Args:
         app: ASGI application.
-        limits: What a caller may take.
-        may_run_concurrently: Tells of a request, as ASGI names it, whether it may be
-            served beside others of its connection.
+        limits: Limits on the callers.
+        may_run_concurrently: Takes the ASGI scope of a request and returns
+            whether it may run concurrently with others of its connection. By
+            default none may.
+
+    Attributes:
+        closing: Whether a planned stop has begun, so that answers announce the
+            close of their connections.
     """
 
     def __init__(
@@ -39,7 +44,7 @@
         self.may_run_concurrently = may_run_concurrently
         self.closing = False
         self._open: set[connection.Connection] = set()
-        self._by_caller: Counter[str] = Counter()
+        self._connections_by_caller: Counter[str] = Counter()
 
     @property
     def connections(self) -> int:
@@ -48,68 +53,79 @@
 
     @property
     def requests(self) -> int:
-        """Return the number of requests under way."""
+        """Return the number of started and unanswered requests."""
         return sum(conn.requests for conn in self._open)
 
     async def serve(self, stream: trio.SocketStream) -> None:
         """Serve one connection until it ends.
 
-        Nothing that goes wrong on it ends the task that accepts connections,
-        and with it those of all other callers.
+        No error of the connection is raised: it would end the task that
+        accepts connections, and with it the connections of all callers.
         """
-        caller = _caller_of(stream)
-        mine = self._by_caller[caller]
-        full = len(self._open) >= self.limits.max_connections
-        if full or mine >= self.limits.max_connections_per_caller:
+        caller = _caller_address(stream)
+        caller_connections = self._connections_by_caller[caller]
+        is_full = len(self._open) >= self.limits.max_connections
+        if (
+            is_full
+            or caller_connections >= self.limits.max_connections_per_caller
+        ):
             logger.warning(
-                logs.Event("connection-refused", caller=caller, open=mine)
+                logs.Event(
+                    "connection-refused", caller=caller, open=caller_connections
+                )
             )
             await trio.aclose_forcefully(stream)
             return
         conn = connection.Connection(self, stream)
         self._open.add(conn)
-        self._by_caller[caller] += 1
+        self._connections_by_caller[caller] += 1
         try:
             await conn.run()
         except Exception:
             logger.exception(logs.Event("connection-failed", caller=caller))
         finally:
             self._open.discard(conn)
-            self._by_caller[caller] -= 1
-            if not self._by_caller[caller]:
-                del self._by_caller[caller]
+            self._connections_by_caller[caller] -= 1
+            if not self._connections_by_caller[caller]:
+                del self._connections_by_caller[caller]
 
     def close_after_answers(self) -> None:
-        """Say `connection: close` on each answer from now on.
+        """Send `connection: close` with each answer from now on.
 
-        A caller may write its next request at any moment on a connection
-        that it believes open; closing it then loses a request that nobody
-        can prove unsent. Said first, the caller opens another one.
+        A caller may send its next request on an open connection at any time.
+        If the connection were closed without notice, that request would be
+        lost and could not be proved unsent. After the notice the caller opens
+        another connection.
         """
         self.closing = True
 
     def close_idle(self, idle_s: float, now: float) -> None:
-        """Close the connections without a request for `idle_s` seconds."""
+        """Close the connections that had no request for `idle_s` seconds.
+
+        Args:
+            idle_s: Seconds without a request.
+            now: Monotonic time in seconds.
+        """
         for conn in list(self._open):
             if conn.is_idle() and conn.idle_since + idle_s <= now:
-                conn.end()
+                conn.close()
 
     def cut(self, reason: str) -> None:
-        """Close every connection, and say in the log what that cuts."""
+        """Close all connections at once and log the number of cut requests."""
         logger.warning(
             logs.Event("requests-cut", reason=reason, requests=self.requests)
         )
         for conn in list(self._open):
-            conn.end()
+            conn.close()
 
     async def sweep(self) -> None:
-        """Close connections that are idle for too long, for ever."""
+        """Close connections that exceed the idle timeout, until cancelled."""
         while True:
             await trio.sleep(min(1.0, self.limits.idle_timeout_s / 4))
             self.close_idle(self.limits.idle_timeout_s, trio.current_time())
 
 
-def _caller_of(stream: trio.SocketStream) -> str:
+def _caller_address(stream: trio.SocketStream) -> str:
     try:
         return str(stream.socket.getpeername()[0])
     except OSError:
--- a/hyssopfold/serving/pipelined_request.py
+++ b/hyssopfold/serving/pipelined_request.py
@@ -1,7 +1,7 @@
-"""One request's turn on its connection: its body in, its answer out.
+"""A request on a caller's connection with HTTP/1.1 pipelining.
 
-Requests of a connection may be served side by side; their answers leave whole
-and in the order in which the requests came.
+Requests of a connection may run concurrently. Their answers are written one
+after another, in the order of the requests.
 """
 
 from typing import Any
@@ -15,69 +15,85 @@
 
 from hyssopfold.serving import refusals
 
-# Name of a turn's `PipelinePosition` among the extensions of an ASGI scope.
+# Key of a request's `PipelinePosition` in the extensions of its ASGI scope.
 PLACE = "hyssop.place"
 # Statuses of answers that have no body.
-_BODILESS = (204, 304)
+_BODILESS_STATUSES = (204, 304)
 
 
 class PipelinePosition:
-    """Where a request stood on its connection.
+    """Position and times of a request on its connection.
 
-    `read_at` is when its head was whole, `ahead` how many requests before it
-    were not answered then, `started_at` when it was handed on, `ready_at` when
-    its answer began to wait for theirs, `written_at` when it began to leave.
-    Times are monotonic, in seconds.
+    An entry logs and measures with it how long a request waited for others.
+
+    Attributes:
+        read_at: Monotonic time in seconds at which the head was complete.
+        requests_ahead: Earlier requests that were unanswered at that time.
+        started_at: Time at which the app was called.
+        ready_at: Time at which the answer began to wait for earlier ones.
+        written_at: Time at which the answer could be written.
     """
 
-    def __init__(self, read_at: float, ahead: int) -> None:
+    def __init__(self, read_at: float, requests_ahead: int) -> None:
         self.read_at = read_at
-        self.ahead = ahead
+        self.requests_ahead = requests_ahead
         self.started_at = read_at
         self.ready_at = read_at
         self.written_at = read_at
 
     @property
     def behind_s(self) -> float:
-        """Return for how long the request stood behind others."""
-        before = self.started_at - self.read_at
-        return before + self.written_at - self.ready_at
+        """Return the seconds that the request waited for earlier ones."""
+        before_start_s = self.started_at - self.read_at
+        return before_start_s + self.written_at - self.ready_at
 
 
 class ConnectionEndpoints(NamedTuple):
-    """Both ends of a connection, as ASGI names them."""
+    """Addresses of both ends of a connection, in ASGI's form."""
 
     client: tuple[str, int]
     server: tuple[str, int]
 
 
 class ConnectionWriter(Protocol):
-    """What a turn asks of its connection."""
+    """The methods of a connection that its requests use."""
 
     async def write(self, data: bytes) -> None:
-        """Write bytes of the answer at the front."""
+        """Write bytes of the answer that is due."""
 
-    async def feed(self, turn: "PipelinedRequest") -> None:
-        """Give the turn's parser more of the body, once there is more."""
+    async def feed_body(self, request: "PipelinedRequest") -> None:
+        """Wait for more of a request's body and pass it to its parser."""
 
-    def body_read(self, turn: "PipelinedRequest") -> None:
-        """Note that the turn's body is whole."""
+    def on_body_complete(self, request: "PipelinedRequest") -> None:
+        """Record that a request's body is complete."""
 
-    def closes_after(self, turn: "PipelinedRequest") -> bool:
-        """Return whether the turn's answer is the connection's last."""
+    def closes_after(self, request: "PipelinedRequest") -> bool:
+        """Return whether a request's answer is the last of the connection."""
 
-    def answered(self, turn: "PipelinedRequest") -> None:
-        """Note that the turn's answer has left."""
+    def on_answered(self, request: "PipelinedRequest") -> None:
+        """Record that a request's answer was written."""
 
 
 class PipelinedRequest:
-    """One request and its answer.
+    """A request of a connection, and its answer.
+
+    The connection creates it; `receive` and `send` are the ASGI callables that
+    the app gets.
 
     Args:
         writer: The connection.
-        parser: Read the request's head, and writes its answer.
-        scope: The request as ASGI names it.
-        whole: Whether the request has no body.
+        parser: Parser that read the head; it also encodes the answer.
+        scope: ASGI scope of the request.
+        body_complete: Whether the request has no body.
+
+    Attributes:
+        body_complete: Whether the body was read to its end.
+        cancel_scope: Scope in which the app runs.
+        answer_due: Set once all earlier answers are written.
+        answer_begun: Whether bytes of the answer may have been written.
+        answer_finished: Whether the complete answer was written.
+        error_status: Status with which to answer if the body is malformed,
+            else 0.
     """
 
     def __init__(
@@ -85,108 +101,106 @@
         writer: ConnectionWriter,
         parser: h11.Connection,
         scope: dict[str, Any],
-        whole: bool,
+        body_complete: bool,
     ) -> None:
         self._writer = writer
         self.parser = parser
         self.scope = scope
-        self.whole = whole
+        self.body_complete = body_complete
         self.cancel_scope = trio.CancelScope()
-        self.front = trio.Event()
-        # Whether bytes of the answer may have left, and whether all have.
-        self.begun = False
-        self.finished = False
-        # Status of our own to answer with, when the body can't be read.
-        self.fault = 0
-        self._start: dict[str, Any] | None = None
-        self._is_bodiless = False
-        self._asked_for_body = False
-        self._told_end = False
+        self.answer_due = trio.Event()
+        self.answer_begun = False
+        self.answer_finished = False
+        self.error_status = 0
+        self._start_message: dict[str, Any] | None = None
+        self._is_answer_bodiless = False
+        self._body_requested = False
+        self._body_end_delivered = False
 
     @property
-    def place(self) -> PipelinePosition:
-        """Return where the request stood on its connection."""
-        place: PipelinePosition = self.scope["extensions"][PLACE]
-        return place
+    def position(self) -> PipelinePosition:
+        """Return the position of the request on its connection."""
+        position: PipelinePosition = self.scope["extensions"][PLACE]
+        return position
 
     async def receive(self) -> dict[str, Any]:
-        """Return the next part of the body, as ASGI asks for it."""
-        if not self._asked_for_body:
-            self._asked_for_body = True
-            await self._say_continue()
-        if not self.whole:
-            return await self._next_part()
-        if self._told_end:
-            return await self._wait_for_end()
-        self._told_end = True
+        """Return the next part of the body as an ASGI message."""
+        if not self._body_requested:
+            self._body_requested = True
+            await self._send_continue()
+        if not self.body_complete:
+            return await self._read_body_part()
+        if self._body_end_delivered:
+            return await self._wait_for_disconnect()
+        self._body_end_delivered = True
         return {"type": "http.request", "body": b"", "more_body": False}
 
-    async def _next_part(self) -> dict[str, Any]:
+    async def _read_body_part(self) -> dict[str, Any]:
         try:
             while (event := self.parser.next_event()) is h11.NEED_DATA:
-                await self._writer.feed(self)
+                await self._writer.feed_body(self)
         except h11.RemoteProtocolError as exc:
-            self.fault = exc.error_status_hint
+            self.error_status = exc.error_status_hint
             self.cancel_scope.cancel()
             await trio.sleep_forever()
         if isinstance(event, h11.Data):
             body = bytes(event.data)
             return {"type": "http.request", "body": body, "more_body": True}
-        self.whole = True
-        self._told_end = True
-        self._writer.body_read(self)
+        self.body_complete = True
+        self._body_end_delivered = True
+        self._writer.on_body_complete(self)
         return {"type": "http.request", "body": b"", "more_body": False}
 
-    async def _wait_for_end(self) -> dict[str, Any]:
-        if not self.finished:
-            # A caller that leaves cancels its requests.
+    async def _wait_for_disconnect(self) -> dict[str, Any]:
+        if not self.answer_finished:
+            # A disconnect of the caller cancels its requests.
             await trio.sleep_forever()
         return {"type": "http.disconnect"}
 
-    async def _say_continue(self) -> None:
-        """Send `100 Continue` if the caller waits for it."""
+    async def _send_continue(self) -> None:
+        """Send `100 Continue` if the caller expects it."""
         if self.parser.they_are_waiting_for_100_continue:
             head = h11.InformationalResponse(status_code=100, headers=[])
             await self._write(self.parser.send(head))
 
     async def send(self, message: dict[str, Any]) -> None:
-        """Take a part of the answer; return once it has left."""
+        """Write an ASGI message of the answer once the answer is due."""
         if message["type"] == "http.response.start":
-            # It leaves with the first part of the body, in one piece.
-            self._start = message
+            # Sent in one write with the first part of the body.
+            self._start_message = message
             return
-        if not self.front.is_set():
-            self.place.ready_at = trio.current_time()
-            await self.front.wait()
-            self.place.written_at = trio.current_time()
-        data = self._taken_start() + self._framed(message)
+        if not self.answer_due.is_set():
+            self.position.ready_at = trio.current_time()
+            await self.answer_due.wait()
+            self.position.written_at = trio.current_time()
+        data = self._encode_start() + self._encode_body(message)
         if data:
             await self._write(data)
         if not message.get("more_body", False):
-            self.finished = True
-            self._writer.answered(self)
+            self.answer_finished = True
+            self._writer.on_answered(self)
 
-    def _framed(self, message: dict[str, Any]) -> bytes:
+    def _encode_body(self, message: dict[str, Any]) -> bytes:
         data = b""
         body = message.get("body", b"")
-        if body and not self._is_bodiless:
+        if body and not self._is_answer_bodiless:
             data = self.parser.send(h11.Data(data=body)) or b""
         if not message.get("more_body", False):
             data += self.parser.send(h11.EndOfMessage()) or b""
         return data
 
-    def _taken_start(self) -> bytes:
-        start, self._start = self._start, None
-        if start is None:
+    def _encode_start(self) -> bytes:
+        start_message, self._start_message = self._start_message, None
+        if start_message is None:
             return b""
-        self.begun = True
-        status = start["status"]
-        self._is_bodiless = (
-            self.scope["method"] == "HEAD" or status in _BODILESS
+        self.answer_begun = True
+        status = start_message["status"]
+        self._is_answer_bodiless = (
+            self.scope["method"] == "HEAD" or status in _BODILESS_STATUSES
         )
-        headers = list(start.get("headers", ()))
+        headers = list(start_message.get("headers", ()))
         if not any(name == b"date" for name, _ in headers):
-            headers.append((b"date", _date()))
+            headers.append((b"date", _http_date()))
         if self._writer.closes_after(self):
             headers.append((b"connection", b"close"))
         head = h11.Response(status_code=status, headers=headers)
@@ -195,34 +209,43 @@
     async def _write(self, data: bytes | None) -> None:
         await self._writer.write(data or b"")
 
-    async def refuse(self, status: int, is_known: bool) -> None:
-        """Answer with a refusal of ours, in the request's place."""
-        for message in refusals.messages(status, is_known):
+    async def refuse(self, status: int, reached_app: bool) -> None:
+        """Answer with an error of the listener itself.
+
+        Args:
+            status: Status of the answer.
+            reached_app: Whether the app got the request.
+        """
+        for message in refusals.messages(status, reached_app):
             await self.send(message)
 
 
 def asgi_scope(
-    req: h11.Request, endpoints: ConnectionEndpoints, place: PipelinePosition
+    head: h11.Request,
+    endpoints: ConnectionEndpoints,
+    position: PipelinePosition,
 ) -> dict[str, Any]:
-    """Return a request as ASGI names it."""
-    path, _, query = req.target.partition(b"?")
+    """Return the ASGI scope of a request."""
+    path, _, query = head.target.partition(b"?")
     return {
         "type": "http",
         "asgi": {"spec_version": "2.1", "version": "3.0"},
-        "http_version": req.http_version.decode(),
-        "method": req.method.decode("ascii").upper(),
+        "http_version": head.http_version.decode(),
+        "method": head.method.decode("ascii").upper(),
         "scheme": "http",
         "path": urllib.parse.unquote(path.decode("ascii")),
         "raw_path": path,
         "query_string": query,
         "root_path": "",
-        # What `upgrade` asks for is never done: nothing is to see it.
-        "headers": [one for one in req.headers if one[0] != b"upgrade"],
+        # Upgrades are not supported, so the header is not forwarded.
+        "headers": [
+            header for header in head.headers if header[0] != b"upgrade"
+        ],
         "client": endpoints.client,
         "server": endpoints.server,
-        "extensions": {PLACE: place},
+        "extensions": {PLACE: position},
     }
 
 
-def _date() -> bytes:
+def _http_date() -> bytes:
     return wsgiref.handlers.format_date_time(None).encode("ascii")
--- a/hyssopfold/serving/refusals.py
+++ b/hyssopfold/serving/refusals.py
@@ -1,4 +1,4 @@
-"""Answers to what is no request, or got no answer from the app."""
+"""Answers to malformed input and to requests that the app did not answer."""
 
 from typing import Any
 
@@ -14,17 +14,20 @@
 }
 
 
-def messages(status: int, is_known: bool) -> tuple[dict[str, Any], ...]:
+def messages(status: int, reached_app: bool) -> tuple[dict[str, Any], ...]:
     """Return the ASGI messages of a refusal.
 
     Args:
-        status: Its status.
-        is_known: Whether the app has had the request, so that a part of it
-            may be at a server.
+        status: Status of the answer. Unknown statuses become 400.
+        reached_app: Whether the app got the request, so that a backend server
+            may have received a part of it: the outcome is then `unknown`.
+
+    Returns:
+        The start of the answer and its body.
     """
     status = status if status in _REMEDIES else 400
     error, remedy = _REMEDIES[status]
-    outcome = "unknown" if is_known else "not-run"
+    outcome = "unknown" if reached_app else "not-run"
     fields = {"error": error, "outcome": outcome, "remedy": remedy}
     body = msgspec.json.encode(fields)
     headers = [
