--- a/tests/steps/entry/behind_steps.py
+++ b/tests/steps/entry/behind_steps.py
@@ -52,10 +52,14 @@
         path.placement.rotate = True
         async with path.running():
             stream = await path.connect()
-            reader = pipelines.Reader(stream)
-            pages = b"".join(pipelines.head(f"/{n}") for n in range(3))
+            reader = pipelines.AnswerReader(stream)
+            pages = b"".join(
+                pipelines.request_without_body(f"/{n}") for n in range(3)
+            )
             began = trio.current_time()
-            await stream.send_all(pages + pipelines.upload("/pay", b"one"))
+            await stream.send_all(
+                pages + pipelines.request_with_body("/pay", b"one")
+            )
             context.behind_answers = [await reader.next() for _ in range(4)]
             context.behind_took_s = trio.current_time() - began
             context.behind_runs = path.runs
--- a/tests/steps/serving/connection_steps.py
+++ b/tests/steps/serving/connection_steps.py
@@ -1,4 +1,4 @@
-"""Steps of connection.feature."""
+"""Steps of serving/connection.feature."""
 
 from behave import then
 from behave import when
@@ -23,10 +23,10 @@
     + b"content-length: 3\r\ntransfer-encoding: chunked\r\n\r\n0\r\n\r\n",
     "two lengths": _POST
     + b"content-length: 3\r\ncontent-length: 4\r\n\r\nabcd",
-    "a coding unknown": _POST + b"transfer-encoding: gzip, chunked\r\n\r\n",
+    "an unknown coding": _POST + b"transfer-encoding: gzip, chunked\r\n\r\n",
     "chunks in HTTP/1.0": b"POST /x HTTP/1.0\r\nhost: a\r\n"
     b"transfer-encoding: chunked\r\n\r\n0\r\n\r\n",
-    "a folded nonsense": _GET + b"no colon here\r\n\r\n",
+    "a line without a colon": _GET + b"no colon here\r\n\r\n",
     "two hosts": _GET + b"host: b\r\n\r\n",
     "no host": b"GET /x HTTP/1.0\r\n\r\n",
     "dot segments": b"GET /a/%2e%2e/x HTTP/1.1\r\nhost: a\r\n"
@@ -35,12 +35,12 @@
     "another host's URL": b"GET http://b/x HTTP/1.1\r\nhost: a\r\n"
     + _CLOSE
     + b"\r\n",
-    "a strange expect": _POST
+    "an unknown expectation": _POST
     + _CLOSE
     + b"expect: more\r\ncontent-length: 3\r\n\r\nabc",
-    "a head too long": _GET + b"x: " + b"y" * 40_000 + b"\r\n\r\n",
-    "a head never ending": _GET + b"x: y\r\n",
-    "a body too long": _POST + b"content-length: 9999999999\r\n\r\n",
+    "a head that is too long": _GET + b"x: " + b"y" * 40_000 + b"\r\n\r\n",
+    "an incomplete head": _GET + b"x: y\r\n",
+    "a body that is too long": _POST + b"content-length: 9999999999\r\n\r\n",
     "a broken chunk": _POST
     + b"transfer-encoding: chunked\r\n\r\n3\r\nabc\r\nzz\r\n",
     "an h2c upgrade": _GET
@@ -68,14 +68,14 @@
 def _run(context, step, **options):
     async def main():
         path = datapath.DataPath(1, _LIMITS, **options)
-        context.wire_path = path
+        context.data_path = path
         async with path.running():
             return await step(path)
 
-    context.wire = trio.run(main)
+    context.result = trio.run(main)
 
 
-@when("raw bytes with {what} come on the wire")
+@when("raw bytes with {what} are sent")
 def _(context, what):
     _run(
         context,
@@ -84,50 +84,52 @@
     )
 
 
-@then("the wire answers {status:d} with a remedy")
+@then("the caller gets {status:d} with a remedy")
 def _(context, status):
-    data, _ = context.wire
+    data, _ = context.result
     assert data.startswith(b"HTTP/1.1 %d " % status), data
     body = msgspec.json.decode(data.partition(b"\r\n\r\n")[2])
     assert body["outcome"] == "not-run", body
     assert body["remedy"], body
 
 
-@then("no server saw it")
+@then("no server received it")
 def _(context):
-    standin = context.wire_path.standins[0]
+    standin = context.data_path.standins[0]
     assert not standin.last_headers, standin.last_headers
 
 
-@then("the wire answers 400 with outcome unknown")
+@then("the caller gets 400 with outcome unknown")
 def _(context):
-    data, _ = context.wire
+    data, _ = context.result
     assert data.startswith(b"HTTP/1.1 400 "), data
     assert b"hyssop-outcome: unknown" in data, data
 
 
-@then("the wire answers 200 and nothing else")
+@then("the caller gets 200 and nothing else")
 def _(context):
-    data, end = context.wire
+    data, end = context.result
     answers = data.count(b"HTTP/1.1 ")
     assert answers == data.count(b"HTTP/1.1 200 "), data
     assert data and end == "end", (data, end)
     head, _, body = data.partition(b"\r\n\r\n")
     assert b"upgrade" not in head.lower(), data
-    assert body or context.wire_path.standins[0].last_headers, data
+    assert body or context.data_path.standins[0].last_headers, data
 
 
-@then("the server saw only the entry's own")
+@then("the server received only the entry's own")
 def _(context):
-    seen = context.wire_path.standins[0].last_headers
-    assert seen[b"x-forwarded-for"] == b"127.0.0.1", seen
-    assert not [key for key in seen if b"_" in key], seen
-    assert b"x-secret" not in seen, seen
-    assert not [key for key, value in seen.items() if b"666" in value], seen
-    assert b"6.6.6.6" not in b" ".join(seen.values()), seen
+    headers = context.data_path.standins[0].last_headers
+    assert headers[b"x-forwarded-for"] == b"127.0.0.1", headers
+    assert not [key for key in headers if b"_" in key], headers
+    assert b"x-secret" not in headers, headers
+    assert not [key for key, value in headers.items() if b"666" in value], (
+        headers
+    )
+    assert b"6.6.6.6" not in b" ".join(headers.values()), headers
 
 
-@when("the wire gets an upload that expects 100-continue")
+@when("an upload with `expect: 100-continue` is sent")
 def _(context):
     async def step(path):
         stream = await path.connect()
@@ -140,27 +142,27 @@
     _run(context, step)
 
 
-@then("the wire says 100 before 200")
+@then("the caller gets 100 before 200")
 def _(context):
-    first, then_ = context.wire
+    first, final = context.result
     assert first.startswith(b"HTTP/1.1 100 "), first
-    assert then_.startswith(b"HTTP/1.1 200 "), then_
+    assert final.startswith(b"HTTP/1.1 200 "), final
 
 
-@when("the wire gets a refused upload that expects 100-continue")
+@when("an upload that is too long is sent with `expect: 100-continue`")
 def _(context):
     head = b"expect: 100-continue\r\ncontent-length: 2000\r\n\r\n"
     _run(context, lambda path: path.exchange(_POST + head), max_body=1000)
 
 
-@then("the wire answers 413 without 100")
+@then("the caller gets 413 without 100")
 def _(context):
-    data, _ = context.wire
+    data, _ = context.result
     assert data.startswith(b"HTTP/1.1 413 "), data
     assert b"connection: close" in data, data
 
 
-@when("the wire gets an upload that is refused early")
+@when("an upload is sent that the server refuses early")
 def _(context):
     async def step(path):
         stream = await path.connect()
@@ -183,14 +185,14 @@
     _run(context, step)
 
 
-@then("the wire answers 413 before the upload's end")
+@then("the caller gets 413 before the upload's end")
 def _(context):
-    data, _ = context.wire
+    data, _ = context.result
     assert data.startswith(b"HTTP/1.1 413 "), data
     assert data.endswith(b"too large"), data
 
 
-@when("an upload stalls on the wire")
+@when("an upload stalls")
 def _(context):
     async def step(path):
         answer = await path.exchange(_POST + b"content-length: 9\r\n\r\nabc")
@@ -201,32 +203,32 @@
     _run(context, step)
 
 
-@then("the wire is closed and no slot is held")
+@then("the connection is closed and no slot is in use")
 def _(context):
-    assert not context.wire_path.placement.held
-    assert context.wire_path.placement.done == ["cancelled"]
+    assert not context.data_path.placement.held
+    assert context.data_path.placement.done == ["cancelled"]
 
 
-@when("one caller opens more connections than it may")
+@when("one caller opens more connections than its limit")
 def _(context):
     async def step(path):
         streams = [await path.connect() for _ in range(6)]
         await streams[0].send_all(_GET + _CLOSE + b"\r\n")
         served = await datapath.read_all(streams[0])
-        closed = [await datapath.read_all(one) for one in streams[4:]]
+        closed = [await datapath.read_all(stream) for stream in streams[4:]]
         return served, closed
 
     _run(context, step)
 
 
-@then("the wire closes those beyond the limit")
+@then("the connections beyond the limit are closed")
 def _(context):
-    (data, _), closed = context.wire
+    (data, _), closed = context.result
     assert data.startswith(b"HTTP/1.1 200 "), data
     assert [data for data, _ in closed] == [b"", b""], closed
 
 
-@when("idle connections are looked for as one has just been closed")
+@when("idle connections are closed just after one has ended")
 def _(context):
     async def step(path):
         stream = await path.connect()
@@ -241,9 +243,9 @@
     _run(context, step)
 
 
-@then("the wire still serves")
+@then("another request is still served")
 def _(context):
-    assert context.wire.status == 200, context.wire
+    assert context.result.status == 200, context.result
 
 
 @when("an upload of {size:d} MB goes to a server that reads nothing")
@@ -253,11 +255,11 @@
         head = b"standin-fault: hold\r\ncontent-length: %d\r\n\r\n"
         await stream.send_all(_POST + head % (size * _MB))
         sent = 0
-        # Blocked for this long, nothing more is taken.
+        # A send that blocks for this long: the entry reads no more.
         while sent < size * _MB:
-            with trio.move_on_after(0.25) as blocked:
+            with trio.move_on_after(0.25) as timeout:
                 await stream.send_all(b"x" * 100_000)
-            if blocked.cancelled_caught:
+            if timeout.cancelled_caught:
                 break
             sent += 100_000
         return sent
@@ -265,32 +267,32 @@
     _run(context, step)
 
 
-@then("the entry takes less than {size:d} MB of it")
+@then("the entry reads less than {size:d} MB of it")
 def _(context, size):
-    assert 0 < context.wire < size * _MB, context.wire
+    assert 0 < context.result < size * _MB, context.result
 
 
-@when("a caller reads nothing of an answer of {size:d} MB")
+@when("a caller does not read an answer of {size:d} MB")
 def _(context, size):
     async def step(path):
         stream = await path.connect()
-        asked = b"standin-answer-bytes: %d\r\n\r\n" % (size * _MB)
-        await stream.send_all(_GET + asked)
+        head = b"standin-answer-bytes: %d\r\n\r\n" % (size * _MB)
+        await stream.send_all(_GET + head)
         await trio.sleep(0.1)
-        taken = path.taken
+        read_bytes = path.taken
         answer = await path.ask("GET", "/x")
-        return taken, answer
+        return read_bytes, answer
 
     _run(context, step)
 
 
-@then("the entry takes less than {size:d} MB of the answer")
+@then("the entry reads less than {size:d} MB of the answer")
 def _(context, size):
-    taken, _ = context.wire
-    assert 0 < taken < size * _MB, taken
+    read_bytes, _ = context.result
+    assert 0 < read_bytes < size * _MB, read_bytes
 
 
-@then("another caller is served meanwhile")
+@then("another caller is served during this time")
 def _(context):
-    _, answer = context.wire
+    _, answer = context.result
     assert answer.status == 200, answer
--- a/tests/steps/serving/pipelines_steps.py
+++ b/tests/steps/serving/pipelines_steps.py
@@ -1,4 +1,4 @@
-"""Steps of pipelines.feature."""
+"""Steps of serving/pipelines.feature."""
 
 import random
 import socket
@@ -16,9 +16,9 @@
 
 def _run(context, step, limits=None):
     async def main():
-        fixture = pipelines.Fixture(limits)
+        fixture = pipelines.ListenerFixture(limits)
         context.pipeline = fixture
-        async with fixture.running_here():
+        async with fixture.running_listener():
             began = trio.current_time()
             result = await step(fixture)
             context.took_s = trio.current_time() - began
@@ -27,100 +27,112 @@
     context.result = trio.run(main)
 
 
-def _requests(text):
+def _encode_pipeline(text):
     data = b""
-    for word in text.split():
-        path, _, mark = word.partition("!")
+    for item in text.split():
+        path, _, option = item.partition("!")
         method = "POST" if path.startswith("/once/") else "GET"
-        fields = ["connection: close"] if mark == "close" else []
+        fields = ["connection: close"] if option == "close" else []
         if method == "POST":
             fields.append("content-length: 0")
-        data += pipelines.head(path, method, *fields)
+        data += pipelines.request_without_body(path, method, *fields)
     return data
 
 
-async def _answers(fixture, data, count):
-    """Return the answers, and how the connection ended if it did."""
+async def _exchange(fixture, data, count):
+    """Send requests; return the answers and how the connection ended, or ""."""
     stream = await fixture.connect()
-    reader = pipelines.Reader(stream)
+    reader = pipelines.AnswerReader(stream)
     await stream.send_all(data)
-    found = []
-    while len(found) < count:
+    answers = []
+    while len(answers) < count:
         answer = await reader.next()
         if answer is None:
             break
-        found.append(answer)
-    # A connection that is to end does so soon.
-    if found and found[-1].closes:
+        answers.append(answer)
+    # After an answer that announces the close, the connection must end.
+    if answers and answers[-1].closes:
         assert await reader.next() is None
-    return found, reader.end
+    return answers, reader.end
 
 
 @when("a pipeline is sent: {text}")
 def _(context, text):
     count = len(text.split())
-    _run(context, lambda one: _answers(one, _requests(text), count))
+    _run(
+        context,
+        lambda fixture: _exchange(fixture, _encode_pipeline(text), count),
+    )
 
 
 @then("the answers are {names} within {seconds:g} s")
 def _(context, names, seconds):
     answers, _ = context.result
-    got = [answer.body.partition(b":")[0].decode() for answer in answers]
-    assert got == names.split(), answers
+    actual = [answer.body.partition(b":")[0].decode() for answer in answers]
+    assert actual == names.split(), answers
     assert context.took_s < seconds, context.took_s
 
 
-@then("{name} ran beside {others}")
+@then("{name} ran concurrently with {others}")
 def _(context, name, others):
-    wanted = set() if others == "nothing" else set(others.split())
+    expected = set() if others == "nothing" else set(others.split())
     name = "upload" if name == "the upload" else name
-    assert context.pipeline.beside[name] == wanted, context.pipeline.beside
+    assert context.pipeline.concurrent_with[name] == expected, (
+        context.pipeline.concurrent_with
+    )
 
 
 @when("a pipeline of {count:d} requests is sent")
 def _(context, count):
     paths = " ".join(f"/safe/n{number}/20/2" for number in range(count))
-    _run(context, lambda one: _answers(one, _requests(paths), count))
+    _run(
+        context,
+        lambda fixture: _exchange(fixture, _encode_pipeline(paths), count),
+    )
 
 
 @then("all {count:d} are answered in order")
 def _(context, count):
     answers, _ = context.result
-    got = [answer.body.partition(b":")[0].decode() for answer in answers]
-    assert got == [f"n{number}" for number in range(count)], got
+    actual = [answer.body.partition(b":")[0].decode() for answer in answers]
+    assert actual == [f"n{number}" for number in range(count)], actual
 
 
-@then("at most {most:d} of them ran at once")
-def _(context, most):
-    assert 1 < context.pipeline.most <= most, context.pipeline.most
+@then("at most {limit:d} of them ran at once")
+def _(context, limit):
+    assert 1 < context.pipeline.max_running <= limit, (
+        context.pipeline.max_running
+    )
 
 
-@when("{size:d} MB of requests are sent behind one that takes long")
+@when("{size:d} MB of requests are sent after a slow one")
 def _(context, size):
     async def step(fixture):
         stream = await fixture.connect()
-        await stream.send_all(_requests(f"/safe/slow/{_LONG_MS}/2"))
-        some = _requests("/safe/b/0/2") * 1000
+        await stream.send_all(_encode_pipeline(f"/safe/slow/{_LONG_MS}/2"))
+        batch = _encode_pipeline("/safe/b/0/2") * 1000
         sent = 0
         while sent < size * _MB:
-            with trio.move_on_after(0.25) as blocked:
-                await stream.send_all(some)
-            if blocked.cancelled_caught:
+            with trio.move_on_after(0.25) as timeout:
+                await stream.send_all(batch)
+            if timeout.cancelled_caught:
                 break
-            sent += len(some)
-        other, _ = await _answers(fixture, _requests("/safe/other/0/2"), 1)
+            sent += len(batch)
+        other, _ = await _exchange(
+            fixture, _encode_pipeline("/safe/other/0/2"), 1
+        )
         return sent, other
 
     _run(context, step)
 
 
-@then("the listener takes less than {size:d} MB of them")
+@then("the listener reads less than {size:d} MB of them")
 def _(context, size):
     sent, _ = context.result
     assert sent < size * _MB, sent
 
 
-@then("another caller is answered meanwhile")
+@then("another caller is answered during this time")
 def _(context):
     _, answers = context.result
     assert [answer.status for answer in answers] == [200], answers
@@ -129,25 +141,25 @@
 @then("the statuses are {statuses}")
 def _(context, statuses):
     answers, _ = context.result
-    got = [str(answer.status) for answer in answers]
-    assert got == statuses.split(), answers
+    actual = [str(answer.status) for answer in answers]
+    assert actual == statuses.split(), answers
 
 
-@then("the connection is kept")
+@then("the connection stays open")
 def _(context):
     answers, end = context.result
     assert not any(answer.closes for answer in answers), answers
     assert not end, end
 
 
-@when("a pipeline with nonsense in third place is sent")
+@when("a pipeline whose third request is malformed is sent")
 def _(context):
-    data = _requests("/safe/a/50/2 /safe/b/0/2")
-    data += b"no request at all\r\n\r\n" + _requests("/safe/d/0/2")
-    _run(context, lambda one: _answers(one, data, 4))
+    data = _encode_pipeline("/safe/a/50/2 /safe/b/0/2")
+    data += b"no request at all\r\n\r\n" + _encode_pipeline("/safe/d/0/2")
+    _run(context, lambda fixture: _exchange(fixture, data, 4))
 
 
-@then("the last answer alone closes the connection")
+@then("only the last answer announces the close")
 def _(context):
     answers, _ = context.result
     closes = [answer.closes for answer in answers]
@@ -164,28 +176,28 @@
     assert context.result[1] == "end", context.result
 
 
-@when("a stop comes in the pipeline: {text}")
+@when("the listener is stopped during the pipeline: {text}")
 def _(context, text):
     async def step(fixture):
         stream = await fixture.connect()
-        reader = pipelines.Reader(stream)
-        await stream.send_all(_requests(text))
+        reader = pipelines.AnswerReader(stream)
+        await stream.send_all(_encode_pipeline(text))
         while len(fixture.started) < 3:
             await trio.sleep(0.01)
         fixture.stop.set()
         await trio.sleep(0.05)
-        # On its way as the caller is told of the close.
-        await stream.send_all(_requests("/safe/e/0/2"))
+        # Sent before the caller has read the announcement of the close.
+        await stream.send_all(_encode_pipeline("/safe/e/0/2"))
         return await reader.all(), reader.end
 
     _run(context, step)
 
 
-@when("a caller leaves behind the pipeline: {text}")
+@when("a caller disconnects after sending the pipeline: {text}")
 def _(context, text):
     async def step(fixture):
         stream = await fixture.connect()
-        await stream.send_all(_requests(text))
+        await stream.send_all(_encode_pipeline(text))
         while len(fixture.started) < 2:
             await trio.sleep(0.01)
         await stream.aclose()
@@ -200,73 +212,81 @@
     assert sorted(context.pipeline.cancelled) == names.split()
 
 
-@when("a pipeline with an upload of {size:d} bytes behind 2 pages is sent")
+@when("a pipeline with an upload of {size:d} bytes after 2 pages is sent")
 def _(context, size):
-    data = _requests("/safe/a/100/2 /safe/b/0/2")
-    data += pipelines.upload("/once/upload/0/2", b"x" * size, chunked=True)
+    data = _encode_pipeline("/safe/a/100/2 /safe/b/0/2")
+    data += pipelines.request_with_body(
+        "/once/upload/0/2", b"x" * size, chunked=True
+    )
     context.size = size
-    _run(context, lambda one: _answers(one, data, 3))
+    _run(context, lambda fixture: _exchange(fixture, data, 3))
 
 
-@then("the upload's answer comes third and whole")
+@then("the upload's answer is the third and complete")
 def _(context):
     answers, _ = context.result
     assert answers[2].body == b"upload:" + b"x" * context.size, answers[2][:90]
 
 
-@when("a connection meets an error that nobody expects")
+@when("a connection fails with an unexpected error")
 def _(context):
     async def step(fixture):
-        bad = await fixture.connect()
+        failing = await fixture.connect()
         while not fixture.listener.connections:
             await trio.sleep(0.01)
         (conn,) = fixture.listener._open
 
         async def fail(data):
-            raise RuntimeError("a fault that nobody foresaw")
+            raise RuntimeError("unexpected error")
 
         conn._stream.send_all = fail
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(_answers, fixture, _requests("/safe/b/300/2"), 1)
-            await bad.send_all(_requests("/safe/a/0/2"))
+            nursery.start_soon(
+                _exchange, fixture, _encode_pipeline("/safe/b/300/2"), 1
+            )
+            await failing.send_all(_encode_pipeline("/safe/a/0/2"))
             await trio.sleep(0.1)
-            return await _answers(fixture, _requests("/safe/c/0/2"), 1), None
+            return await _exchange(
+                fixture, _encode_pipeline("/safe/c/0/2"), 1
+            ), None
 
-    _run(context, lambda fixture: _swap(step, fixture))
+    _run(context, lambda fixture: _as_second_answers(step, fixture))
 
 
-async def _swap(step, fixture):
+async def _as_second_answers(step, fixture):
     (answers, _), _ = await step(fixture)
     return None, answers
 
 
-@when("a stop comes while {count:d} slow readers pipeline beside an upload")
+@when(
+    "the listener is stopped while {count:d} slow readers pipeline and one uploads"
+)
 def _(context, count):
     size = 100_000
 
-    async def slow(fixture, got):
+    async def read_slowly(fixture, answers):
         stream = await fixture.connect()
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 8192)
-        reader = pipelines.Reader(stream)
-        await stream.send_all(_requests(f"/safe/a/0/{size} " * 4))
+        reader = pipelines.AnswerReader(stream)
+        await stream.send_all(_encode_pipeline(f"/safe/a/0/{size} " * 4))
         await trio.sleep(0.6)
-        got += await reader.all()
+        answers += await reader.all()
 
     async def step(fixture):
-        got = [[] for _ in range(count)]
+        answer_lists = [[] for _ in range(count)]
         upload = await fixture.connect()
         body = b"x" * 1000
-        data = pipelines.upload("/once/upload/0/2", body)
+        data = pipelines.request_with_body("/once/upload/0/2", body)
         await upload.send_all(data[:-500])
         async with trio.open_nursery() as nursery:
-            for one in got:
-                nursery.start_soon(slow, fixture, one)
+            for answers in answer_lists:
+                nursery.start_soon(read_slowly, fixture, answers)
             await trio.sleep(0.2)
             fixture.stop.set()
             await trio.sleep(1.0)
             await upload.send_all(data[-500:])
-            answer = await pipelines.Reader(upload).next()
-        return got, answer
+            answer = await pipelines.AnswerReader(upload).next()
+        return answer_lists, answer
 
     _run(context, step)
 
@@ -278,26 +298,26 @@
     assert answer.status == 200, answer
 
 
-@then("each slow reader got whole answers")
+@then("each slow reader got complete answers")
 def _(context):
-    got, _ = context.result
-    for answers in got:
+    answer_lists, _ = context.result
+    for answers in answer_lists:
         assert answers, "cut before the first answer"
-        assert all(len(one.body) == 100_000 for one in answers)
+        assert all(len(answer.body) == 100_000 for answer in answers)
         assert answers[-1].closes, answers[-1].status
 
 
-def _random_request(rng, name):
+def _make_random_request(rng, name):
     delay_ms = rng.choice((0, 0, 1, 3))
     size = rng.choice((2, 50, 5000, 90_000))
     path = f"/{name}/{delay_ms}/{size}"
     if rng.random() < 0.7:
-        return pipelines.head(f"/safe{path}")
+        return pipelines.request_without_body(f"/safe{path}")
     body = bytes(rng.randrange(256) for _ in range(rng.choice((0, 1, 700))))
-    return pipelines.upload(f"/once{path}", body, rng.random() < 0.5)
+    return pipelines.request_with_body(f"/once{path}", body, rng.random() < 0.5)
 
 
-def _pieces(rng, data):
+def _split(rng, data):
     cuts = sorted(rng.randrange(len(data)) for _ in range(rng.randrange(6)))
     return [
         data[begin:end]
@@ -305,32 +325,32 @@
     ]
 
 
-async def _in_pieces(fixture, rng, requests):
+async def _send_in_pieces(fixture, rng, requests):
     stream = await fixture.connect()
-    reader = pipelines.Reader(stream)
-    found = []
+    reader = pipelines.AnswerReader(stream)
+    answers = []
     async with trio.open_nursery() as nursery:
 
-        async def push():
-            for piece in _pieces(rng, b"".join(requests)):
+        async def send():
+            for piece in _split(rng, b"".join(requests)):
                 await stream.send_all(piece)
                 await trio.sleep(rng.choice((0, 0, 0.002)))
 
-        nursery.start_soon(push)
-        found += [await reader.next() for _ in requests]
+        nursery.start_soon(send)
+        answers += [await reader.next() for _ in requests]
     await stream.aclose()
-    return found
+    return answers
 
 
-async def _one_by_one(fixture, requests):
+async def _send_one_by_one(fixture, requests):
     stream = await fixture.connect()
-    reader = pipelines.Reader(stream)
-    found = []
+    reader = pipelines.AnswerReader(stream)
+    answers = []
     for req in requests:
         await stream.send_all(req)
-        found.append(await reader.next())
+        answers.append(await reader.next())
     await stream.aclose()
-    return found
+    return answers
 
 
 @when("{count:d} random pipelines are sent in random pieces")
@@ -342,12 +362,12 @@
             names = [
                 f"s{seed}x{index}" for index in range(rng.randrange(1, 14))
             ]
-            requests = [_random_request(rng, name) for name in names]
-            got = await _in_pieces(fixture, rng, requests)
-            ran = sorted(fixture.started)
+            requests = [_make_random_request(rng, name) for name in names]
+            actual = await _send_in_pieces(fixture, rng, requests)
+            started = sorted(fixture.started)
             fixture.started.clear()
-            wanted = await _one_by_one(fixture, requests)
-            pairs.append((got, wanted, ran, sorted(names)))
+            expected = await _send_one_by_one(fixture, requests)
+            pairs.append((actual, expected, started, sorted(names)))
             fixture.started.clear()
         return pairs
 
@@ -358,11 +378,11 @@
 
 @then("each gives the answers of its requests sent one by one")
 def _(context):
-    for seed, (got, wanted, _, _) in enumerate(context.result):
-        assert got == wanted, (seed, got, wanted)
+    for seed, (actual, expected, _, _) in enumerate(context.result):
+        assert actual == expected, (seed, actual, expected)
 
 
 @then("each request of a pipeline ran once")
 def _(context):
-    for seed, (_, _, ran, names) in enumerate(context.result):
-        assert ran == names, (seed, ran, names)
+    for seed, (_, _, started, names) in enumerate(context.result):
+        assert started == names, (seed, started, names)
--- a/tests/support/pipelines.py
+++ b/tests/support/pipelines.py
@@ -1,7 +1,7 @@
-"""A listener on loopback whose app does what each request's path says.
+"""A listener on loopback whose app is controlled by the path of each request.
 
-`/safe/NAME/MS/BYTES` may run beside others, `/once/NAME/MS/BYTES` may not; both
-answer with NAME after MS thousandths of a second, padded to BYTES.
+`/safe/NAME/MS/BYTES` may run concurrently with others, `/once/NAME/MS/BYTES`
+may not. Both answer with NAME, padded to BYTES, after MS milliseconds.
 """
 
 import contextlib
@@ -18,18 +18,18 @@
 
 
 class Answer(NamedTuple):
-    """What a caller read: `end` is how the connection ended, if it did."""
+    """An answer; `closes` is whether it announces the connection's close."""
 
     status: int
     body: bytes
     closes: bool
 
 
-class Fixture:
-    """The listener, and what its app saw.
+class ListenerFixture:
+    """A listener and a record of the requests that its app received.
 
     Args:
-        limits: What a caller may take.
+        limits: Limits of the listener, by default the usual ones.
     """
 
     def __init__(self, limits=None):
@@ -44,19 +44,21 @@
         self.ended = []
         self.cancelled = []
         self.running = 0
-        self.most = 0
-        # With which others each request ran at the same time.
-        self.beside = {}
+        self.max_running = 0
+        # For each request the names of those that ran concurrently.
+        self.concurrent_with = {}
 
     async def _app(self, scope, receive, send):
         kind, name, delay_ms, size = scope["path"].strip("/").split("/")
-        under_way = {one for one in self.started if one not in self.ended}
-        self.beside[name] = under_way
-        for other in under_way:
-            self.beside[other].add(name)
+        unfinished = {
+            started for started in self.started if started not in self.ended
+        }
+        self.concurrent_with[name] = unfinished
+        for other in unfinished:
+            self.concurrent_with[other].add(name)
         self.started.append(name)
         self.running += 1
-        self.most = max(self.most, self.running)
+        self.max_running = max(self.max_running, self.running)
         try:
             body = await http.read_body(receive) or b""
             await trio.sleep(int(delay_ms) / 1000)
@@ -85,8 +87,8 @@
         await send({"type": "http.response.body", "body": text})
 
     @contextlib.asynccontextmanager
-    async def running_here(self):
-        """Run it."""
+    async def running_listener(self):
+        """Run the listener."""
         with trio.fail_after(WAIT_S):
             async with trio.open_nursery() as nursery:
                 await nursery.start(self._serve)
@@ -111,28 +113,34 @@
         return await trio.open_tcp_stream(host, int(port))
 
 
-def head(path, method="GET", *fields):
+def request_without_body(path, method="GET", *fields):
     """Return a request without a body."""
     lines = [f"{method} {path} HTTP/1.1", "host: a", *fields]
     return "\r\n".join([*lines, "", ""]).encode()
 
 
-def upload(path, body, chunked=False):
+def request_with_body(path, body, chunked=False):
     """Return a request with a body."""
     if not chunked:
-        return head(path, "POST", f"content-length: {len(body)}") + body
-    data = head(path, "POST", "transfer-encoding: chunked")
-    for at in range(0, len(body), 7):
-        part = body[at : at + 7]
+        return (
+            request_without_body(path, "POST", f"content-length: {len(body)}")
+            + body
+        )
+    data = request_without_body(path, "POST", "transfer-encoding: chunked")
+    for offset in range(0, len(body), 7):
+        part = body[offset : offset + 7]
         data += b"%x\r\n%s\r\n" % (len(part), part)
     return data + b"0\r\n\r\n"
 
 
-class Reader:
-    """Read answers off a connection, in order.
+class AnswerReader:
+    """Reads the answers of a connection in order.
 
     Args:
         stream: The connection.
+
+    Attributes:
+        end: How the connection ended, `end` or `reset`; empty before.
     """
 
     def __init__(self, stream):
@@ -141,7 +149,7 @@
         self.end = ""
 
     async def next(self):
-        """Return the next answer, or None when the connection ended."""
+        """Return the next answer, or None at the end of the connection."""
         parser = h11.Connection(h11.CLIENT)
         parser.send(
             h11.Request(method="GET", target="/", headers=[("host", "a")])
@@ -161,7 +169,8 @@
             elif isinstance(event, h11.Response):
                 status = event.status_code
                 closes = any(
-                    one == (b"connection", b"close") for one in event.headers
+                    header == (b"connection", b"close")
+                    for header in event.headers
                 )
             elif isinstance(event, h11.Data):
                 parts.append(bytes(event.data))
@@ -172,11 +181,11 @@
                 return None
 
     async def all(self):
-        """Return the answers until the connection ends."""
-        found = []
+        """Return all answers up to the end of the connection."""
+        answers = []
         while (answer := await self.next()) is not None:
-            found.append(answer)
-        return found
+            answers.append(answer)
+        return answers
 
     async def _receive(self):
         try:
