--- a/hyssopfold/entry/app.py
+++ b/hyssopfold/entry/app.py
@@ -10,7 +10,7 @@
 from hyssopfold import http
 from hyssopfold import log_output
 from hyssopfold import metrics
-from hyssopfold.entry import carrier_parts
+from hyssopfold.entry import attempt_dependencies
 from hyssopfold.entry import configuration
 from hyssopfold.entry import lookups
 from hyssopfold.entry import proxy
@@ -43,7 +43,7 @@
         config: configuration.Configuration,
         spread: gossip.Gossip,
         forward: proxy.Proxy,
-        place: carrier_parts.Placement,
+        placement: attempt_dependencies.Placement,
         meter: metrics.Metrics,
         announcers: access.Guard,
         output: log_output.BoundedHandler,
@@ -60,7 +60,7 @@
         self._config = config
         self._spread = spread
         self._proxy = forward
-        self._placement = place
+        self._placement = placement
         self._meter = meter
 
     async def __call__(
@@ -125,7 +125,7 @@
             meter.cold_servers.set(labels, cold)
             busy = sum(in_flight.get(s.server_id, 0) for s in ready)
             meter.in_flight.set(labels, busy)
-            left = self._proxy.budget_of(pool.name).left
+            left = self._proxy.retry_budget(pool.name).left
             meter.retries_left.set(labels, left)
         for server in held.servers.words():
             age = held.servers.age_s(server.server_id, now)
--- a/hyssopfold/entry/carrier_parts.py
+++ b/hyssopfold/entry/attempt_dependencies.py
@@ -26,7 +26,7 @@
         """Return a slot, or why there is none."""
 
     def release(
-        self, grant: messages.Grant, done: messages.AttemptResult
+        self, grant: messages.Grant, result: messages.AttemptResult
     ) -> None:
         """Give a slot back, with how the attempt ended."""
 
@@ -47,20 +47,20 @@
         """Take in that a request was answered."""
 
 
-class Parts(NamedTuple):
+class AttemptDependencies(NamedTuple):
     """What carrying a request takes, the same for all requests.
 
     `expects_silence` tells that kept connections may be dead without a sign.
     """
 
     region: str
-    known: directory.Directory
+    directory: directory.Directory
     steering: steering.Steering
     placement: Placement
     pacer: pacing.Pacer
     upstream: upstream.Upstream
     quarantine: Quarantine
     meter: metrics.Metrics
-    budget_of: Callable[[str], budget.RetryBudget]
+    retry_budget: Callable[[str], budget.RetryBudget]
     refuse: Callable[[exchange_module.Exchange, http.Refusal], Awaitable[None]]
-    expects_silence: bool = True
+    may_use_stale_connections: bool = True
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -15,7 +15,7 @@
 from hyssopfold.core.membership import messages as membership
 from hyssopfold.core.steering import regions
 from hyssopfold.entry import answers
-from hyssopfold.entry import carrier_parts
+from hyssopfold.entry import attempt_dependencies
 from hyssopfold.entry import crash_checks
 from hyssopfold.entry import exchange as exchange_module
 from hyssopfold.entry import relaying
@@ -31,7 +31,7 @@
 QUARANTINED_RETRY_S = 60.0
 
 
-class Carrier:
+class AttemptExecutor:
     """One request on its way to a server and back.
 
     Args:
@@ -43,12 +43,12 @@
 
     def __init__(
         self,
-        parts: carrier_parts.Parts,
+        dependencies: attempt_dependencies.AttemptDependencies,
         exchange: exchange_module.Exchange,
         route: tables.Route,
         pool: tables.Pool,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._exchange = exchange
         self._dialect = exchange.dialect
         self._route = route
@@ -63,12 +63,12 @@
             limit_s,
             is_absolute,
             route.attempts,
-            parts.expects_silence,
+            dependencies.may_use_stale_connections,
         )
         self._machine = attempt.Attempts(
-            self._request, parts.budget_of(pool.name)
+            self._request, dependencies.retry_budget(pool.name)
         )
-        self._decision = parts.steering.decide(
+        self._decision = dependencies.steering.decide(
             route, exchange.request_id, exchange.client, pool.name
         )
         self._grant: messages.Grant | None = None
@@ -81,7 +81,7 @@
         self._relay: relaying.Relay | None = None
 
     @property
-    def fate(self) -> str:
+    def outcome(self) -> str:
         """Return what is certain of the request, for its claim."""
         if self._exchange.outcome == "answered":
             return "answered"
@@ -131,7 +131,7 @@
         return None
 
     async def _acquire(self, effect: events.Acquire) -> events.Event:
-        parts, pool = self._parts, self._pool
+        dependencies, pool = self._dependencies, self._pool
         refused = messages.Refused("deadline-passed", attempt.RETRY_AFTER_S)
         answer: messages.Grant | messages.Refused = refused
         with trio.move_on_at(effect.deadline):
@@ -143,7 +143,7 @@
                 return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
             for avoid in self._avoid(effect.tried):
                 req = self._wanted(effect, avoid)
-                answer = await parts.placement.acquire(req, pool)
+                answer = await dependencies.placement.acquire(req, pool)
                 if isinstance(answer, messages.Grant):
                     break
         if isinstance(answer, messages.Refused):
@@ -151,10 +151,10 @@
         if self._is_held(effect):
             # Since it began to wait for a slot.
             unused = messages.AttemptResult("cancelled", 0.0, connected=False)
-            parts.placement.release(answer, unused)
+            dependencies.placement.release(answer, unused)
             return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
         if not effect.tried:
-            parts.steering.note(pool.name, self._decision, answer.server)
+            dependencies.steering.note(pool.name, self._decision, answer.server)
         self._grant = answer
         self._granted_at = trio.current_time()
         self._log_grant(answer, effect)
@@ -162,12 +162,12 @@
 
     async def _read_suspect(self) -> None:
         """Read what tells whether a request is one that may be held back."""
-        if self._parts.quarantine.knows(self._exchange.fingerprint_head):
+        if self._dependencies.quarantine.knows(self._exchange.fingerprint_head):
             await self._exchange.read_ahead()
 
     def _is_held(self, effect: events.Acquire) -> bool:
         """Return whether the next attempt is held back, as far as is known."""
-        held, exchange = self._parts.quarantine, self._exchange
+        held, exchange = self._dependencies.quarantine, self._exchange
         if not held.knows(exchange.fingerprint_head):
             return False
         attempt_id = f"{exchange.request_id} {len(effect.tried)}"
@@ -177,7 +177,7 @@
         """Return what to avoid: failure domains tried, else servers tried."""
         if not tried:
             return [()]
-        ready = self._parts.known.ready_servers(self._pool.name)
+        ready = self._dependencies.directory.ready_servers(self._pool.name)
         domains = {
             one.failure_domain for one in ready if one.server_id in tried
         }
@@ -221,7 +221,7 @@
         self._is_broken = False
         try:
             with self._answer_by:
-                self._answering = await self._parts.upstream.send(
+                self._answering = await self._dependencies.upstream.send(
                     server, outgoing, effect.fresh, self._note_bytes_sent
                 )
                 await self._read_short(server)
@@ -265,12 +265,12 @@
 
     def _pacer(self, server: membership.Server) -> relaying.Pace:
         """Return what waits for room on the link to a server."""
-        parts = self._parts
+        dependencies = self._dependencies
 
         async def pace(part: bytes, length: int | None) -> None:
-            if server.region != parts.region:
+            if server.region != dependencies.region:
                 bulk = length is None or length > BULK_BYTES
-                await parts.pacer.take(server.region, len(part), bulk)
+                await dependencies.pacer.take(server.region, len(part), bulk)
 
         return pace
 
@@ -293,25 +293,25 @@
             kind = self._shed_or_failed()
         answering, self._answering = self._answering, None
         done = self._done(kind, answering)
-        self._parts.placement.release(grant, done)
+        self._dependencies.placement.release(grant, done)
         if done.healthy:
-            self._parts.quarantine.answered(self._exchange.fingerprint)
+            self._dependencies.quarantine.answered(self._exchange.fingerprint)
         self._log_attempt(grant, done, answering)
         if kind == "failed":
             self._check_server(grant.server)
         if answering is None:
             return
         if kind == "answered":
-            await self._parts.upstream.finish(answering)
+            await self._dependencies.upstream.finish(answering)
         else:
-            await self._parts.upstream.drop(answering)
+            await self._dependencies.upstream.drop(answering)
 
     def _check_server(self, server: membership.Server) -> None:
         """Let it be checked whether a server crashed under this request."""
         fingerprint = self._exchange.fingerprint
         may_run = self._machine.last_sent is events.Sent.MAYBE_SENT
         if self._is_broken and may_run and fingerprint:
-            self._parts.upstream.checks.suspect(
+            self._dependencies.upstream.checks.suspect(
                 crash_checks.Broken(
                     server, fingerprint, self._exchange.request_id
                 )
@@ -354,13 +354,15 @@
             )
         else:
             refusal = answers.refusal(effect, self._pool.name)
-        await self._parts.refuse(self._exchange, refusal)
+        await self._dependencies.refuse(self._exchange, refusal)
 
     def _log_grant(self, grant: messages.Grant, effect: events.Acquire) -> None:
         now = trio.current_time()
         server = grant.server
-        lease_s = self._parts.known.servers.left_s(server.server_id, now)
-        budget_left = self._parts.budget_of(self._pool.name).left
+        lease_s = self._dependencies.directory.servers.left_s(
+            server.server_id, now
+        )
+        budget_left = self._dependencies.retry_budget(self._pool.name).left
         self._exchange.log.add(
             logger,
             "routing-decision",
@@ -386,7 +388,7 @@
         answering: upstream.Answering | None,
     ) -> None:
         status = answering.answer.status if answering is not None else 0
-        self._parts.meter.attempts.observe(
+        self._dependencies.meter.attempts.observe(
             {"pool": self._pool.name, "result": done.kind}, done.duration_s
         )
         self._exchange.log.add(
--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -14,8 +14,8 @@
 from hyssopfold.core.attempts import budget
 from hyssopfold.core.membership import directory
 from hyssopfold.core.steering import splits
+from hyssopfold.entry import attempt_dependencies
 from hyssopfold.entry import carrier
-from hyssopfold.entry import carrier_parts
 from hyssopfold.entry import claims
 from hyssopfold.entry import configuration
 from hyssopfold.entry import dialect as dialect_module
@@ -44,7 +44,7 @@
     """What may keep a request from running, wherever it is to go."""
 
     claimed: claims.Claims
-    quarantine: carrier_parts.Quarantine
+    quarantine: attempt_dependencies.Quarantine
 
 
 class Callers(NamedTuple):
@@ -84,8 +84,8 @@
     def __init__(
         self,
         config: configuration.Configuration,
-        steer: steering.Steering,
-        place: carrier_parts.Placement,
+        region_steering: steering.Steering,
+        placement: attempt_dependencies.Placement,
         pacer: pacing.Pacer,
         servers: upstream.Upstream,
         meter: metrics.Metrics,
@@ -96,16 +96,16 @@
         callers: Callers = USUAL_CALLERS,
     ) -> None:
         self.in_flight = 0
-        self._parts = carrier_parts.Parts(
+        self._dependencies = attempt_dependencies.AttemptDependencies(
             here.region,
             here.known,
-            steer,
-            place,
+            region_steering,
+            placement,
             pacer,
             servers,
             guards.quarantine,
             meter,
-            self.budget_of,
+            self.retry_budget,
             self.refuse,
             callers.dialect == dialect_module.OURS,
         )
@@ -122,7 +122,7 @@
         """Return the lines of good requests that were not written."""
         return self._sampler.left_out
 
-    def budget_of(self, pool: str) -> budget.RetryBudget:
+    def retry_budget(self, pool: str) -> budget.RetryBudget:
         """Return the retries that this entry may still make in a pool."""
         held = self._budgets.get(pool)
         if held is None:
@@ -142,7 +142,9 @@
         shared = self._callers.shared_retry_reserve
         if not shared:
             return budget.DEFAULT_RESERVE
-        return shared / max(1, len(self._parts.known.ready_entries()))
+        return shared / max(
+            1, len(self._dependencies.directory.ready_entries())
+        )
 
     async def serve(
         self, scope: http.Scope, receive: http.Receive, send: http.Send
@@ -271,18 +273,22 @@
         """Serve a request, but not again under the same idempotency key."""
         keyed = exchange.header(b"idempotency-key") is not None
         if not keyed or route.is_repeatable(exchange.method):
-            await carrier.Carrier(self._parts, exchange, route, pool).run()
+            await carrier.AttemptExecutor(
+                self._dependencies, exchange, route, pool
+            ).run()
             return
         held = await self._claims.claim(exchange)
         if isinstance(held, http.Refusal):
             await self.refuse(exchange, held)
             return
-        carried = carrier.Carrier(self._parts, exchange, route, pool)
+        executor = carrier.AttemptExecutor(
+            self._dependencies, exchange, route, pool
+        )
         try:
-            await carried.run()
+            await executor.run()
         finally:
             self._claims.settle(
-                held, exchange.request_id, carried.fate, exchange.status
+                held, exchange.request_id, executor.outcome, exchange.status
             )
 
     async def refuse(
--- a/hyssopfold/entry/status.py
+++ b/hyssopfold/entry/status.py
@@ -10,7 +10,7 @@
 from hyssopfold import tables
 from hyssopfold.core.membership import messages
 from hyssopfold.core.steering import shares
-from hyssopfold.entry import carrier_parts
+from hyssopfold.entry import attempt_dependencies
 from hyssopfold.entry import configuration
 from hyssopfold.entry import steering
 from hyssopfold.transport import gossip
@@ -31,7 +31,7 @@
         config: configuration.Configuration,
         spread: gossip.Gossip,
         steer: steering.Steering,
-        place: carrier_parts.Placement,
+        place: attempt_dependencies.Placement,
     ) -> None:
         self._config = config
         self._spread = spread
