--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -33,21 +33,21 @@
 _TABLES_BEHIND_WAIT_S = 0.2
 
 
-class Here(NamedTuple):
+class EntryContext(NamedTuple):
     """The entry's region, and its directory of the servers."""
 
     region: str
-    known: directory.Directory
+    directory: directory.Directory
 
 
-class Guards(NamedTuple):
+class RequestGuards(NamedTuple):
     """What may keep a request from running, wherever it is to go."""
 
-    claimed: claims.Claims
+    claims: claims.Claims
     quarantine: attempt_dependencies.Quarantine
 
 
-class Callers(NamedTuple):
+class CallerOptions(NamedTuple):
     """How callers are served: the headers in use, limits, retries for them.
 
     `max_body_bytes` is the largest body taken. Retries are `retry_share` for
@@ -62,7 +62,7 @@
     log_lines_per_s: float = log_output.LINES_PER_S
 
 
-USUAL_CALLERS = Callers()
+DEFAULT_CALLER_OPTIONS = CallerOptions()
 
 
 class Proxy:
@@ -87,35 +87,35 @@
         region_steering: steering.Steering,
         placement: attempt_dependencies.Placement,
         pacer: pacing.Pacer,
-        servers: upstream.Upstream,
+        backends: upstream.Upstream,
         meter: metrics.Metrics,
         *,
-        guards: Guards,
-        here: Here,
+        guards: RequestGuards,
+        context: EntryContext,
         rng: random.Random,
-        callers: Callers = USUAL_CALLERS,
+        options: CallerOptions = DEFAULT_CALLER_OPTIONS,
     ) -> None:
         self.in_flight = 0
         self._dependencies = attempt_dependencies.AttemptDependencies(
-            here.region,
-            here.known,
+            context.region,
+            context.directory,
             region_steering,
             placement,
             pacer,
-            servers,
+            backends,
             guards.quarantine,
             meter,
             self.retry_budget,
             self.refuse,
-            callers.dialect == dialect_module.OURS,
+            options.dialect == dialect_module.OURS,
         )
-        self._callers = callers
-        self._sampler = request_log.Sampler(callers.log_lines_per_s)
+        self._options = options
+        self._sampler = request_log.Sampler(options.log_lines_per_s)
         self._budgets: dict[str, budget.RetryBudget] = {}
         self._config = config
         self._meter = meter
         self._rng = rng
-        self._claims = guards.claimed
+        self._claims = guards.claims
 
     @property
     def log_lines_left_out(self) -> int:
@@ -127,7 +127,7 @@
         held = self._budgets.get(pool)
         if held is None:
             held = self._budgets[pool] = budget.RetryBudget(
-                self._callers.retry_share
+                self._options.retry_share
             )
             held.left = held.reserve = self._reserve()
         held.reserve = self._reserve()
@@ -139,7 +139,7 @@
         The parts add up to the whole when each entry knows as many others;
         one that knows fewer, cut off, is alone with its part of the callers.
         """
-        shared = self._callers.shared_retry_reserve
+        shared = self._options.shared_retry_reserve
         if not shared:
             return budget.DEFAULT_RESERVE
         return shared / max(
@@ -157,8 +157,8 @@
             send,
             snapshot,
             _began(scope),
-            self._callers.max_body_bytes,
-            self._callers.dialect,
+            self._options.max_body_bytes,
+            self._options.dialect,
             self._sampler,
         )
         route = snapshot.router.match(
@@ -295,7 +295,7 @@
         self, exchange: exchange_module.Exchange, refusal: http.Refusal
     ) -> None:
         """Answer with a refusal of ours."""
-        names = self._callers.dialect
+        names = self._options.dialect
         if names.status_is_promise and refusal.status >= 500:
             refusal = refusal._replace(status=_promised_status(refusal))
         exchange.outcome = refusal.outcome
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -183,10 +183,10 @@
             pacing.Pacer(cfg.region, self.config, self.known),
             self.servers,
             self.meter,
-            guards=proxy.Guards(self.claimed, self.crashes),
-            here=proxy.Here(cfg.region, self.known),
+            guards=proxy.RequestGuards(self.claimed, self.crashes),
+            context=proxy.EntryContext(cfg.region, self.known),
             rng=self.rng,
-            callers=proxy.Callers(
+            options=proxy.CallerOptions(
                 cfg.max_body_bytes,
                 adapters.headers,
                 cfg.retry_share,
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -267,10 +267,10 @@
             pacer or FakePacer(),
             upstream.Upstream(self.pool, self.checks),
             self.meter,
-            guards=proxy.Guards(self.claims, self.quarantine),
-            here=proxy.Here("dar", known),
+            guards=proxy.RequestGuards(self.claims, self.quarantine),
+            context=proxy.EntryContext("dar", known),
             rng=rng,
-            callers=proxy.Callers(max_body_bytes=max_body),
+            options=proxy.CallerOptions(max_body_bytes=max_body),
         )
         self.app = self.proxy.serve
         self.listener = serving.Listener(
