--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -304,7 +304,7 @@
         if kind == "answered":
             await self._dependencies.upstream.finish(answering)
         else:
-            await self._dependencies.upstream.drop(answering)
+            await self._dependencies.upstream.discard(answering)
 
     def _check_server(self, server: membership.Server) -> None:
         """Let it be checked whether a server crashed under this request."""
--- a/hyssopfold/entry/connections.py
+++ b/hyssopfold/entry/connections.py
@@ -11,7 +11,7 @@
 from hyssopfold.core.membership import messages
 
 CONNECT_TIMEOUT_S = 2.0
-IDLE_S = 10.0
+MAX_IDLE_S = 10.0
 MAX_AGE_S = 300.0
 # Something between the two ends may forget a connection: what is written to
 # it then is never acknowledged, and without these it would hang for minutes.
@@ -57,7 +57,7 @@
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
         """Return what came, at most `max_bytes` bytes; none at the end."""
         try:
-            with trio.fail_after(_seconds(timeout)):
+            with trio.fail_after(_timeout_s(timeout)):
                 return await self._sock.recv(max_bytes)
         except trio.TooSlowError as exc:
             raise httpcore.ReadTimeout(f"nothing for {timeout} s") from exc
@@ -72,18 +72,18 @@
                 before the request's end: httpcore then reads the answer.
         """
         view = memoryview(buffer)
-        until = trio.current_time() + _seconds(timeout)
+        deadline = trio.current_time() + _timeout_s(timeout)
         while view:
             # A server that refuses an upload answers, then reads no more.
             if self.body_follows and self._sock.is_readable():
                 raise httpcore.WriteError("answered before the request's end")
-            count = await self._write_some(view)
-            if count:
-                until = trio.current_time() + _seconds(timeout)
-                self._note_sent()
-            elif trio.current_time() >= until:
+            sent_bytes = await self._write_some(view)
+            if sent_bytes:
+                deadline = trio.current_time() + _timeout_s(timeout)
+                self._record_sent()
+            elif trio.current_time() >= deadline:
                 raise httpcore.WriteTimeout(f"no progress for {timeout} s")
-            view = view[count:]
+            view = view[sent_bytes:]
 
     async def _write_some(self, view: memoryview) -> int:
         try:
@@ -93,7 +93,7 @@
             raise httpcore.WriteError(str(exc)) from exc
         return 0
 
-    def _note_sent(self) -> None:
+    def _record_sent(self) -> None:
         if self.on_first_byte is not None:
             self.on_first_byte()
             self.on_first_byte = None
@@ -122,20 +122,22 @@
     def __init__(self, address: str, stream: Stream, now: float) -> None:
         self.address = address
         self.stream = stream
-        self.opened = now
-        self.used = now
+        self.opened_at = now
+        self.last_used_at = now
         # How long it may rest before the server may close it.
-        self.idle_s = IDLE_S
+        self.max_idle_s = MAX_IDLE_S
         host, port = address.rsplit(":", 1)
         origin = httpcore.Origin(b"http", host.encode(), int(port))
         self.http = httpcore.AsyncHTTP11Connection(origin, stream)
 
-    def note_keep_alive(self, value: bytes) -> None:
+    def record_keep_alive(self, value: bytes) -> None:
         """Take in how long the server keeps the connection, if it says so."""
         for part in value.split(b","):
             name, _, number = part.strip().partition(b"=")
             if name.lower() == b"timeout" and number.isdigit():
-                self.idle_s = min(IDLE_S, int(number) * KEEP_ALIVE_SHARE)
+                self.max_idle_s = min(
+                    MAX_IDLE_S, int(number) * KEEP_ALIVE_SHARE
+                )
 
     def is_clean(self) -> bool:
         """Return whether it is open, between requests, with nothing on it.
@@ -153,7 +155,7 @@
         await self.http.aclose()
 
 
-class Pool:
+class ConnectionPool:
     """Connections to all servers, each server's within a bound.
 
     Args:
@@ -166,21 +168,21 @@
 
     def __init__(
         self,
-        bound: Callable[[messages.Server], int],
+        max_connections: Callable[[messages.Server], int],
         proven_s: float = 0.0,
-        connect_s: float = CONNECT_TIMEOUT_S,
+        connect_timeout_s: float = CONNECT_TIMEOUT_S,
     ) -> None:
-        self._bound = bound
+        self._max_connections = max_connections
         self._proven_s = proven_s
-        self._connect_s = connect_s
+        self._connect_timeout_s = connect_timeout_s
         self._idle: dict[str, list[Connection]] = defaultdict(list)
-        self._count: dict[str, int] = defaultdict(int)
+        self._counts: dict[str, int] = defaultdict(int)
 
     def count(self, address: str) -> int:
         """Return the connections held to a server."""
-        return self._count[address]
+        return self._counts[address]
 
-    async def take(self, server: messages.Server, fresh: bool) -> Connection:
+    async def acquire(self, server: messages.Server, fresh: bool) -> Connection:
         """Return a connection to `server` for one request.
 
         Args:
@@ -195,29 +197,29 @@
         now = trio.current_time()
         while idle and (not fresh or self._is_proven(idle[-1], now)):
             conn = idle.pop()
-            if self._is_good(conn, now):
+            if self._is_usable(conn, now):
                 return conn
             await self._close(conn)
-        if self._count[address] >= self._bound(server):
+        if self._counts[address] >= self._max_connections(server):
             if not idle:
                 raise NotOpenedError("connections to the server are spent")
             await self._close(idle.pop(0))
         return await self._open(address)
 
-    async def give_back(self, conn: Connection) -> None:
+    async def release(self, conn: Connection) -> None:
         """Keep a connection for the next request if nothing is left on it."""
         now = trio.current_time()
-        conn.used = now
-        if self._is_good(conn, now):
+        conn.last_used_at = now
+        if self._is_usable(conn, now):
             self._idle[conn.address].append(conn)
         else:
             await self._close(conn)
 
-    async def drop(self, conn: Connection) -> None:
+    async def discard(self, conn: Connection) -> None:
         """Close a connection whose request was cancelled or went wrong."""
         await self._close(conn)
 
-    async def refuses(self, address: str) -> bool:
+    async def is_refused(self, address: str) -> bool:
         """Return whether nothing accepts connections at an address now."""
         try:
             conn = await self._open(address)
@@ -231,15 +233,17 @@
     async def sweep(self) -> None:
         """Close connections idle for too long, for ever."""
         while True:
-            await trio.sleep(IDLE_S / 4)
+            await trio.sleep(MAX_IDLE_S / 4)
             now = trio.current_time()
             for address, idle in list(self._idle.items()):
-                bad = [conn for conn in idle if not self._is_good(conn, now)]
-                idle[:] = [conn for conn in idle if conn not in bad]
-                for conn in bad:
+                unusable = [
+                    conn for conn in idle if not self._is_usable(conn, now)
+                ]
+                idle[:] = [conn for conn in idle if conn not in unusable]
+                for conn in unusable:
                     await self._close(conn)
-                if not self._count[address]:
-                    del self._idle[address], self._count[address]
+                if not self._counts[address]:
+                    del self._idle[address], self._counts[address]
 
     async def aclose(self) -> None:
         """Close the idle connections."""
@@ -248,16 +252,16 @@
                 await self._close(idle.pop())
 
     def _is_proven(self, conn: Connection, now: float) -> bool:
-        return now - conn.used < self._proven_s
+        return now - conn.last_used_at < self._proven_s
 
-    def _is_good(self, conn: Connection, now: float) -> bool:
-        rested = now - conn.used > conn.idle_s
-        old = now - conn.opened > MAX_AGE_S
-        return not rested and not old and conn.is_clean()
+    def _is_usable(self, conn: Connection, now: float) -> bool:
+        is_idle_too_long = now - conn.last_used_at > conn.max_idle_s
+        is_too_old = now - conn.opened_at > MAX_AGE_S
+        return not is_idle_too_long and not is_too_old and conn.is_clean()
 
     async def _open(self, address: str) -> Connection:
         host, port = address.rsplit(":", 1)
-        self._count[address] += 1
+        self._counts[address] += 1
         sock = None
         try:
             sock = trio.socket.socket(
@@ -265,10 +269,10 @@
             )
             for option in _OPTIONS:
                 sock.setsockopt(*option)
-            with trio.fail_after(self._connect_s):
+            with trio.fail_after(self._connect_timeout_s):
                 await sock.connect((host.strip("[]"), int(port)))
         except BaseException as exc:
-            self._count[address] -= 1
+            self._counts[address] -= 1
             if sock is not None:
                 sock.close()
             if isinstance(exc, ConnectionRefusedError):
@@ -279,10 +283,10 @@
         return Connection(address, Stream(sock), trio.current_time())
 
     async def _close(self, conn: Connection) -> None:
-        self._count[conn.address] -= 1
+        self._counts[conn.address] -= 1
         with trio.CancelScope(shield=True):
             await conn.aclose()
 
 
-def _seconds(timeout: float | None) -> float:
+def _timeout_s(timeout: float | None) -> float:
     return float("inf") if timeout is None else timeout
--- a/hyssopfold/entry/crash_checks.py
+++ b/hyssopfold/entry/crash_checks.py
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        connected: connections.Pool,
+        connected: connections.ConnectionPool,
         reports: Reports,
         meter: metrics.Metrics,
     ) -> None:
@@ -72,7 +72,7 @@
 
     async def _check(self, broken: Broken) -> None:
         server = broken.server
-        if not await self._connected.refuses(server.address):
+        if not await self._connected.is_refused(server.address):
             return
         self._meter.crashes.inc({"pool": server.pool})
         logger.warning(
--- a/hyssopfold/entry/upstream.py
+++ b/hyssopfold/entry/upstream.py
@@ -48,7 +48,7 @@
     """
 
     def __init__(
-        self, pool: connections.Pool, checks: crash_checks.CrashChecks
+        self, pool: connections.ConnectionPool, checks: crash_checks.CrashChecks
     ) -> None:
         self.pool = pool
         self.checks = checks
@@ -76,13 +76,13 @@
             LostError: when no answer began.
         """
         try:
-            conn = await self.pool.take(server, fresh)
+            conn = await self.pool.acquire(server, fresh)
         except connections.NotOpenedError as exc:
             raise LostError(str(exc)) from exc
         try:
             answer = await _begin(conn, server, outgoing, on_first_byte)
         except BaseException:
-            await self.pool.drop(conn)
+            await self.pool.discard(conn)
             raise
         return Answering(conn, answer)
 
@@ -91,12 +91,12 @@
         await answering.answer.aclose()
         for key, value in answering.answer.headers:
             if key.lower() == b"keep-alive":
-                answering.conn.note_keep_alive(value)
-        await self.pool.give_back(answering.conn)
+                answering.conn.record_keep_alive(value)
+        await self.pool.release(answering.conn)
 
-    async def drop(self, answering: Answering) -> None:
+    async def discard(self, answering: Answering) -> None:
         """Close the connection of an answer that nobody waits for."""
-        await self.pool.drop(answering.conn)
+        await self.pool.discard(answering.conn)
 
     async def aclose(self) -> None:
         """Close all idle connections."""
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -79,7 +79,7 @@
         self.config = self._configuration()
         self.spread.on_revision = self.config.hear
         self.place = self._placement()
-        self.connected = connections.Pool(
+        self.connected = connections.ConnectionPool(
             self._bound, cfg.proven_connection_s, cfg.connect_timeout_s
         )
         self.meter = metrics.Metrics(cfg.name)
--- a/tests/steps/entry/connections_steps.py
+++ b/tests/steps/entry/connections_steps.py
@@ -43,17 +43,17 @@
 
 @when("a connection to it is asked for with a limit of {limit:g} s")
 def _(context, limit):
-    pool = connections.Pool(lambda _: 10, connect_s=limit)
+    pool = connections.ConnectionPool(lambda _: 10, connect_timeout_s=limit)
 
-    async def take():
+    async def acquire():
         try:
-            await pool.take(context.conn_server, fresh=True)
+            await pool.acquire(context.conn_server, fresh=True)
         except connections.NotOpenedError as exc:
             return exc
         return None
 
     began = time.monotonic()
-    context.conn_error = trio.run(take)
+    context.conn_error = trio.run(acquire)
     context.conn_took_s = time.monotonic() - began
 
 
@@ -73,19 +73,19 @@
     "a connection brings an answer and a fresh one is asked for {later:g} s later"
 )
 def _(context, later):
-    pool = connections.Pool(lambda _: 10, context.conn_trust_s)
+    pool = connections.ConnectionPool(lambda _: 10, context.conn_trust_s)
 
-    async def take_twice():
-        first = await pool.take(context.conn_server, fresh=True)
+    async def acquire_twice():
+        first = await pool.acquire(context.conn_server, fresh=True)
         # As after a whole answer: idle, nothing left on it.
         first.is_clean = lambda: True
-        await pool.give_back(first)
+        await pool.release(first)
         await trio.sleep(later)
-        second = await pool.take(context.conn_server, fresh=True)
-        await pool.drop(second)
+        second = await pool.acquire(context.conn_server, fresh=True)
+        await pool.discard(second)
         return first is second
 
-    context.conn_same = trio.run(take_twice)
+    context.conn_same = trio.run(acquire_twice)
 
 
 @then("it is the same connection")
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -253,7 +253,7 @@
         rng = random.Random(1)
         self.placement = FakePlacement([word for _, word in made])
         self.claims = (entries or FakeEntries([name])).claims[name]
-        self.pool = connections.Pool(lambda server: 40)
+        self.pool = connections.ConnectionPool(lambda server: 40)
         self.meter = metrics.Metrics("test")
         self.quarantine = FakeQuarantine()
         self.checks = crash_checks.CrashChecks(
