--- /dev/null
+++ b/hyssopfold/entry/answer_relay.py
@@ -0,0 +1,121 @@
+"""Relays the answer of a backend server to the caller."""
+
+from collections.abc import Awaitable
+from collections.abc import Callable
+
+import httpcore
+
+from hyssopfold import http
+from hyssopfold.entry import answers
+from hyssopfold.entry import exchange as exchange_module
+from hyssopfold.entry import upstream
+
+# Longer answers are relayed as they arrive.
+MAX_BUFFERED_BYTES = 64 * 1024
+
+# Waits until a part of a body may be sent over the link to the server. Takes the
+# part, and the length of the whole body in bytes or None if it is not known.
+LinkWait = Callable[[bytes, int | None], Awaitable[None]]
+
+
+class AnswerRelay:
+    """Relays one answer: a short one in one piece, a long one as it arrives.
+
+    Args:
+        answer: The answer, of which the head was read.
+        exchange: The request.
+        wait_for_link: Waits for capacity on the link to the server.
+    """
+
+    def __init__(
+        self,
+        answer: httpcore.Response,
+        exchange: exchange_module.Exchange,
+        wait_for_link: LinkWait,
+    ) -> None:
+        self._answer = answer
+        self._exchange = exchange
+        self._wait_for_link = wait_for_link
+        self._length = answers.length_of(answer)
+        self._stream = upstream.body_parts(answer)
+        self._buffered: list[bytes] = []
+        self._is_complete = False
+
+    async def buffer_short_answer(self) -> None:
+        """Read a short answer completely before its head is relayed.
+
+        If it is cut, the request can then be retried at another server instead
+        of relaying a cut answer. The caller gets it in one piece.
+
+        Raises:
+            LostError: when the answer ends early.
+        """
+        if self._length is None and not self._exchange.dialect.unframed_answers:
+            # It may be a stream: the caller waits for each part.
+            return
+        if self._length is not None and self._length > MAX_BUFFERED_BYTES:
+            return
+        buffered_bytes = 0
+        async for part in self._stream:
+            self._buffered.append(part)
+            buffered_bytes += len(part)
+            if buffered_bytes > MAX_BUFFERED_BYTES:
+                return
+        self._is_complete = True
+
+    async def run(self, release: Callable[[], Awaitable[None]]) -> None:
+        """Send the answer to the caller.
+
+        Args:
+            release: Releases the slot and the connection. It is called before
+                the caller has the complete answer and can send its next
+                request.
+
+        Raises:
+            LostError: when the answer ends early.
+        """
+        self._exchange.status = self._answer.status
+        start = {
+            "type": "http.response.start",
+            "status": self._answer.status,
+            "headers": self._headers(),
+        }
+        if self._is_complete:
+            body = b"".join(self._buffered)
+            await self._wait_for_link(body, self._length)
+            await release()
+            await self._exchange.send(start)
+            await self._send(body)
+            return
+        await self._exchange.send(start)
+        await self._send(b"", more=True)
+        for part in self._buffered:
+            await self._relay_part(part)
+        async for part in self._stream:
+            await self._relay_part(part)
+        await release()
+        await self._send(b"")
+
+    def _headers(self) -> http.Headers:
+        answer, dialect = self._answer, self._exchange.dialect
+        headers = exchange_module.end_to_end(answer.headers, dialect)
+        if answer.status in answers.BODILESS:
+            headers = [
+                header for header in headers if header[0] != b"content-length"
+            ]
+        own_headers = self._exchange.answer_headers()
+        own_names = {name for name, _ in own_headers}
+        return [
+            header for header in headers if header[0] not in own_names
+        ] + own_headers
+
+    async def _relay_part(self, part: bytes) -> None:
+        await self._wait_for_link(part, self._length)
+        await self._send(part, more=True)
+
+    async def _send(self, body: bytes, more: bool = False) -> None:
+        message: dict[str, object]
+        message = {"type": "http.response.body", "body": body}
+        if more:
+            message["more_body"] = True
+        await self._exchange.send(message)
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -14,11 +14,11 @@
 from hyssopfold.core.balancing import messages
 from hyssopfold.core.membership import messages as membership
 from hyssopfold.core.steering import regions
+from hyssopfold.entry import answer_relay
 from hyssopfold.entry import answers
 from hyssopfold.entry import attempt_dependencies
 from hyssopfold.entry import crash_checks
 from hyssopfold.entry import exchange as exchange_module
-from hyssopfold.entry import relaying
 from hyssopfold.entry import upstream
 
 logger = logging.getLogger(__name__)
@@ -77,8 +77,8 @@
         # Whether the connection of the attempt broke.
         self._is_broken = False
         self._told_dropped = False
-        self._answering: upstream.Answering | None = None
-        self._relay: relaying.Relay | None = None
+        self._answer_stream: upstream.AnswerStream | None = None
+        self._relay: answer_relay.AnswerRelay | None = None
 
     @property
     def outcome(self) -> str:
@@ -118,7 +118,7 @@
             case events.Send():
                 return await self._send(effect)
             case events.Relay():
-                return await self._pass_on()
+                return await self._relay_answer()
             case events.CloseConnection():
                 await self._end_attempt("failed")
             case events.Refuse():
@@ -211,7 +211,7 @@
         assert self._grant is not None
         server, exchange = self._grant.server, self._exchange
         left_s = effect.deadline - trio.current_time()
-        outgoing = upstream.Outgoing(
+        outgoing = upstream.OutgoingRequest(
             exchange.method,
             exchange.target(),
             exchange.request_headers(left_s, server.server_id),
@@ -221,40 +221,40 @@
         self._is_broken = False
         try:
             with self._answer_by:
-                self._answering = await self._dependencies.upstream.send(
+                self._answer_stream = await self._dependencies.upstream.send(
                     server, outgoing, effect.fresh, self._note_bytes_sent
                 )
-                await self._read_short(server)
+                await self._buffer_short_answer(server)
         except upstream.LostError as exc:
             self._is_broken = True
             return events.AttemptFailed(str(exc))
         except exchange_module.BodyTooLargeError:
             return events.AttemptFailed("body too large")
-        if self._answering is None or self._answer_by.cancelled_caught:
+        if self._answer_stream is None or self._answer_by.cancelled_caught:
             return events.AttemptFailed("no answer in time")
-        return answers.began(exchange, self._answering.answer)
+        return answers.began(exchange, self._answer_stream.answer)
 
-    async def _read_short(self, server: membership.Server) -> None:
-        assert self._answering is not None
+    async def _buffer_short_answer(self, server: membership.Server) -> None:
+        assert self._answer_stream is not None
         if not self._request.is_total_limit:
             # It has begun: from here on only a stall ends it.
             self._answer_by.deadline = math.inf
-        self._relay = relaying.Relay(
-            self._answering.answer, self._exchange, self._pacer(server)
+        self._relay = answer_relay.AnswerRelay(
+            self._answer_stream.answer, self._exchange, self._link_wait(server)
         )
-        await self._relay.read_short()
+        await self._relay.buffer_short_answer()
 
     def _note_bytes_sent(self) -> None:
         self._tell(events.BytesSent())
 
     async def _body(self, server: membership.Server) -> AsyncIterator[bytes]:
-        pace = self._pacer(server)
+        wait = self._link_wait(server)
         self._note(events.BodyBegan())
         async for part in self._exchange.body():
             if self._exchange.dropped and not self._told_dropped:
                 self._told_dropped = True
                 self._tell(events.BodyDropped())
-            await pace(part, self._exchange.length)
+            await wait(part, self._exchange.length)
             yield part
         self._note(events.BodySent())
 
@@ -263,22 +263,22 @@
             if isinstance(effect, events.SetAnswerDeadline):
                 self._answer_by.deadline = effect.deadline
 
-    def _pacer(self, server: membership.Server) -> relaying.Pace:
+    def _link_wait(self, server: membership.Server) -> answer_relay.LinkWait:
         """Return what waits for room on the link to a server."""
         dependencies = self._dependencies
 
-        async def pace(part: bytes, length: int | None) -> None:
+        async def wait(part: bytes, length: int | None) -> None:
             if server.region != dependencies.region:
                 bulk = length is None or length > BULK_BYTES
                 await dependencies.pacer.take(server.region, len(part), bulk)
 
-        return pace
+        return wait
 
-    async def _pass_on(self) -> events.Event:
+    async def _relay_answer(self) -> events.Event:
         assert self._relay is not None
-        free = functools.partial(self._end_attempt, "answered")
+        release = functools.partial(self._end_attempt, "answered")
         try:
-            await self._relay.run(free)
+            await self._relay.run(release)
         except upstream.LostError as exc:
             self._is_broken = True
             return events.AttemptFailed(str(exc))
@@ -291,20 +291,20 @@
             return
         if kind == "failed":
             kind = self._shed_or_failed()
-        answering, self._answering = self._answering, None
-        done = self._done(kind, answering)
+        answer_stream, self._answer_stream = self._answer_stream, None
+        done = self._done(kind, answer_stream)
         self._dependencies.placement.release(grant, done)
         if done.healthy:
             self._dependencies.quarantine.answered(self._exchange.fingerprint)
-        self._log_attempt(grant, done, answering)
+        self._log_attempt(grant, done, answer_stream)
         if kind == "failed":
             self._check_server(grant.server)
-        if answering is None:
+        if answer_stream is None:
             return
         if kind == "answered":
-            await self._dependencies.upstream.finish(answering)
+            await self._dependencies.upstream.finish(answer_stream)
         else:
-            await self._dependencies.upstream.discard(answering)
+            await self._dependencies.upstream.discard(answer_stream)
 
     def _check_server(self, server: membership.Server) -> None:
         """Let it be checked whether a server crashed under this request."""
@@ -318,13 +318,13 @@
             )
 
     def _done(
-        self, kind: str, answering: upstream.Answering | None
+        self, kind: str, answer_stream: upstream.AnswerStream | None
     ) -> messages.AttemptResult:
         took = trio.current_time() - self._granted_at
-        if answering is None:
+        if answer_stream is None:
             reached = self._machine.last_sent is not events.Sent.NOT_SENT
             return messages.AttemptResult(kind, took, reached, False)
-        answer = answering.answer
+        answer = answer_stream.answer
         headers = {key.lower(): value for key, value in answer.headers}
         good = kind == "answered" and answer.status < SERVER_FAILURE
         return messages.AttemptResult(
@@ -385,9 +385,9 @@
         self,
         grant: messages.Grant,
         done: messages.AttemptResult,
-        answering: upstream.Answering | None,
+        answer_stream: upstream.AnswerStream | None,
     ) -> None:
-        status = answering.answer.status if answering is not None else 0
+        status = answer_stream.answer.status if answer_stream is not None else 0
         self._dependencies.meter.attempts.observe(
             {"pool": self._pool.name, "result": done.kind}, done.duration_s
         )
--- a/hyssopfold/entry/upstream.py
+++ b/hyssopfold/entry/upstream.py
@@ -1,4 +1,4 @@
-"""One attempt at a backend server: send, and hand out the answer's stream."""
+"""Attempts at backend servers: sends a request and returns the answer."""
 
 from collections.abc import AsyncIterator
 from collections.abc import Callable
@@ -10,17 +10,17 @@
 from hyssopfold.entry import connections
 from hyssopfold.entry import crash_checks
 
-STALL_S = 60.0
+STALL_TIMEOUT_S = 60.0
 _FAILURES = (
     httpcore.NetworkError,
     httpcore.TimeoutException,
     httpcore.ProtocolError,
 )
-_TIMEOUTS = {"read": STALL_S, "write": STALL_S}
+_TIMEOUTS = {"read": STALL_TIMEOUT_S, "write": STALL_TIMEOUT_S}
 
 
-class Outgoing(NamedTuple):
-    """A request as it goes to a backend server."""
+class OutgoingRequest(NamedTuple):
+    """A request to send to a backend server."""
 
     method: str
     target: bytes
@@ -28,23 +28,26 @@
     body: AsyncIterator[bytes] | None
 
 
-class Answering(NamedTuple):
-    """An answer that has begun, and the connection that it comes on."""
+class AnswerStream(NamedTuple):
+    """An answer of which the head was read, and its connection."""
 
     conn: connections.Connection
     answer: httpcore.Response
 
 
 class LostError(Exception):
-    """An attempt that broke; how far it got is known from its events."""
+    """The connection of an attempt failed.
+
+    The events of the attempt tell how far it got.
+    """
 
 
 class Upstream:
-    """Attempts at the backend servers.
+    """Sends the requests of an entry to backend servers.
 
     Args:
-        pool: Keeps the connections.
-        checks: Checks servers whose connections broke.
+        pool: Connections to the servers.
+        checks: Checks whether servers crashed when connections failed.
     """
 
     def __init__(
@@ -56,21 +59,24 @@
     async def send(
         self,
         server: messages.Server,
-        outgoing: Outgoing,
+        outgoing: OutgoingRequest,
         fresh: bool,
         on_first_byte: Callable[[], None],
-    ) -> Answering:
-        """Return the server's answer, its body still to be read.
+    ) -> AnswerStream:
+        """Send a request and return the answer, of which the head was read.
 
-        A connection on which something went wrong, cancellation too, is
-        closed: the server sees that nobody waits any more, and no later
-        request can meet what is left on it.
+        After an error or a cancellation the connection is closed: the server
+        sees that the request is cancelled, and no later request can read what
+        is left on the connection.
 
         Args:
-            server: Where to send.
-            outgoing: What to send.
+            server: The server.
+            outgoing: The request.
             fresh: Whether a new connection must be used.
-            on_first_byte: Called before the server can have seen anything.
+            on_first_byte: Called once the first byte is passed to the network.
+
+        Returns:
+            The answer with its connection. Pass it to `finish` or `discard`.
 
         Raises:
             LostError: when no answer began.
@@ -80,33 +86,33 @@
         except connections.NotOpenedError as exc:
             raise LostError(str(exc)) from exc
         try:
-            answer = await _begin(conn, server, outgoing, on_first_byte)
+            answer = await _send_request(conn, server, outgoing, on_first_byte)
         except BaseException:
             await self.pool.discard(conn)
             raise
-        return Answering(conn, answer)
+        return AnswerStream(conn, answer)
 
-    async def finish(self, answering: Answering) -> None:
-        """Keep the connection of an answer that is whole, if it is clean."""
-        await answering.answer.aclose()
-        for key, value in answering.answer.headers:
+    async def finish(self, answer_stream: AnswerStream) -> None:
+        """Keep the connection of a complete answer if it can be reused."""
+        await answer_stream.answer.aclose()
+        for key, value in answer_stream.answer.headers:
             if key.lower() == b"keep-alive":
-                answering.conn.record_keep_alive(value)
-        await self.pool.release(answering.conn)
+                answer_stream.conn.record_keep_alive(value)
+        await self.pool.release(answer_stream.conn)
 
-    async def discard(self, answering: Answering) -> None:
-        """Close the connection of an answer that nobody waits for."""
-        await self.pool.discard(answering.conn)
+    async def discard(self, answer_stream: AnswerStream) -> None:
+        """Close the connection of an answer that is not needed."""
+        await self.pool.discard(answer_stream.conn)
 
     async def aclose(self) -> None:
         """Close all idle connections."""
         await self.pool.aclose()
 
 
-async def _begin(
+async def _send_request(
     conn: connections.Connection,
     server: messages.Server,
-    outgoing: Outgoing,
+    outgoing: OutgoingRequest,
     on_first_byte: Callable[[], None],
 ) -> httpcore.Response:
     url = httpcore.URL(f"http://{server.address}")
@@ -126,11 +132,11 @@
         raise LostError(describe(exc)) from exc
 
 
-async def parts(answer: httpcore.Response) -> AsyncIterator[bytes]:
-    """Yield an answer's body.
+async def body_parts(answer: httpcore.Response) -> AsyncIterator[bytes]:
+    """Yield the body of an answer in parts.
 
     Raises:
-        LostError: when it ends before it is whole.
+        LostError: when the answer ends early.
     """
     try:
         async for part in answer.aiter_stream():
@@ -140,5 +146,5 @@
 
 
 def describe(exc: Exception) -> str:
-    """Return what happened in a few words."""
+    """Return the class and the message of an error."""
     return f"{type(exc).__name__} {exc}".strip()
