--- a/hyssopfold/entry/connections.py
+++ b/hyssopfold/entry/connections.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: opened, proved live, bounded, closed."""
+"""Connections to backend servers: pooled, limited in number and in age."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -13,16 +13,18 @@
 CONNECT_TIMEOUT_S = 2.0
 MAX_IDLE_S = 10.0
 MAX_AGE_S = 300.0
-# Something between the two ends may forget a connection: what is written to
-# it then is never acknowledged, and without these it would hang for minutes.
+# A middlebox may drop a connection from its table: bytes written to it are then
+# never acknowledged. Without these timeouts the connection would hang for
+# minutes.
 USER_TIMEOUT_MS = 3_000
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_PERIOD_S = 1
 KEEPALIVE_PROBES = 3
-# A server closes a connection that rested for the time it names, by its own
-# clock; resting less here leaves room for the way of the next request.
+# A server closes a connection that was idle for the announced keep-alive time,
+# by its own clock. Using it for a part of that time only leaves time for the
+# next request to arrive.
 KEEP_ALIVE_SHARE = 0.7
-# How often a blocked upload looks whether the server has answered already.
+# How often a blocked upload checks whether the server has already answered.
 EARLY_ANSWER_CHECK_S = 0.25
 _OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -35,18 +37,24 @@
 
 
 class NotOpenedError(Exception):
-    """No connection could be opened: nothing was sent."""
+    """No connection could be opened, so nothing was sent."""
 
 
 class RefusedError(NotOpenedError):
-    """Nothing accepts connections at the address."""
+    """The address refuses connections: no process listens there."""
 
 
 class Stream(httpcore.AsyncNetworkStream):
-    """A socket that knows whether any byte of a request left.
+    """A network stream of httpcore that reports a request's first byte.
 
     Args:
-        sock: The socket, owned from now on.
+        sock: The socket. The stream takes ownership of it.
+
+    Attributes:
+        on_first_byte: Called once the first byte of a request is passed to the
+            network.
+        body_follows: Whether the request has a body, so that the server may
+            answer before its end.
     """
 
     def __init__(self, sock: trio.socket.SocketType) -> None:
@@ -55,26 +63,27 @@
         self.body_follows = False
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Return what came, at most `max_bytes` bytes; none at the end."""
+        """Return at most `max_bytes` received bytes, or b"" at the end."""
         try:
             with trio.fail_after(_timeout_s(timeout)):
                 return await self._sock.recv(max_bytes)
         except trio.TooSlowError as exc:
-            raise httpcore.ReadTimeout(f"nothing for {timeout} s") from exc
+            raise httpcore.ReadTimeout(f"no data for {timeout} s") from exc
         except OSError as exc:
             raise httpcore.ReadError(str(exc)) from exc
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Write all of `buffer`, or stop when an answer is there already.
+        """Write all of `buffer`, unless the server has already answered.
 
         Raises:
-            WriteError: when the connection broke, or the server answered
+            WriteError: when the connection failed, or the server answered
                 before the request's end: httpcore then reads the answer.
+            WriteTimeout: when no byte was accepted for `timeout` seconds.
         """
         view = memoryview(buffer)
         deadline = trio.current_time() + _timeout_s(timeout)
         while view:
-            # A server that refuses an upload answers, then reads no more.
+            # A server that refuses an upload answers and stops reading.
             if self.body_follows and self._sock.is_readable():
                 raise httpcore.WriteError("answered before the request's end")
             sent_bytes = await self._write_some(view)
@@ -103,20 +112,24 @@
         self._sock.close()
 
     def get_extra_info(self, info: str) -> Any:
-        """Return `is_readable`, the one thing httpcore asks for."""
+        """Return `is_readable`, the only key that httpcore uses."""
         if info != "is_readable":
             return None
-        # A closed one counts as readable: it is not to be used again.
+        # A closed socket counts as readable, so that it is not reused.
         return self._sock.fileno() < 0 or self._sock.is_readable()
 
 
 class Connection:
-    """One connection to a backend server.
+    """A connection to a backend server.
 
     Args:
-        address: IP number and port of the server.
-        stream: The open socket.
-        now: Time of opening.
+        address: IP address and port of the server.
+        stream: The open stream.
+        now: Monotonic time in seconds at which it was opened.
+
+    Attributes:
+        http: The HTTP/1.1 connection of httpcore.
+        max_idle_s: Seconds that it may be idle before the server may close it.
     """
 
     def __init__(self, address: str, stream: Stream, now: float) -> None:
@@ -124,14 +137,13 @@
         self.stream = stream
         self.opened_at = now
         self.last_used_at = now
-        # How long it may rest before the server may close it.
         self.max_idle_s = MAX_IDLE_S
         host, port = address.rsplit(":", 1)
         origin = httpcore.Origin(b"http", host.encode(), int(port))
         self.http = httpcore.AsyncHTTP11Connection(origin, stream)
 
     def record_keep_alive(self, value: bytes) -> None:
-        """Take in how long the server keeps the connection, if it says so."""
+        """Update the idle limit with the value of a `keep-alive` header."""
         for part in value.split(b","):
             name, _, number = part.strip().partition(b"=")
             if name.lower() == b"timeout" and number.isdigit():
@@ -140,30 +152,31 @@
                 )
 
     def is_clean(self) -> bool:
-        """Return whether it is open, between requests, with nothing on it.
+        """Return whether it is open, idle, and has no unread bytes.
 
-        A byte beyond an answer's end would be read as the beginning of the
-        next request's answer. httpcore keeps such bytes in its parser, where
-        only this attribute shows them.
+        Bytes after the end of an answer would be read as the beginning of the
+        next request's answer. httpcore keeps such bytes in its parser and shows
+        them in this private attribute only.
         """
         if not self.http.is_idle() or self.http.has_expired():
             return False
         return not self.http._h11_state.trailing_data[0]
 
     async def aclose(self) -> None:
-        """Close it."""
+        """Close the connection."""
         await self.http.aclose()
 
 
 class ConnectionPool:
-    """Connections to all servers, each server's within a bound.
+    """The connections of an entry to all servers.
 
     Args:
-        bound: Gives the connections that this entry may hold to a server.
-        proven_s: Seconds for which a connection that brought a whole answer
-            counts as new: it was alive so short a time ago.
-        connect_s: Seconds to wait for a new connection. Nothing is sent
-            before it is there, so what waits can go to another server.
+        max_connections: Returns the number of connections that this entry may
+            have to a server.
+        proven_s: Seconds for which a connection counts as new after a complete
+            answer, since it was alive at that time.
+        connect_timeout_s: Seconds to wait for a new connection. Nothing is sent
+            before, so the request can go to another server.
     """
 
     def __init__(
@@ -179,18 +192,18 @@
         self._counts: dict[str, int] = defaultdict(int)
 
     def count(self, address: str) -> int:
-        """Return the connections held to a server."""
+        """Return the number of connections to a server."""
         return self._counts[address]
 
     async def acquire(self, server: messages.Server, fresh: bool) -> Connection:
         """Return a connection to `server` for one request.
 
         Args:
-            server: Where to.
-            fresh: Whether it must be a new one, or one just proven alive.
+            server: The server.
+            fresh: Whether it must be new, or proved alive a short time ago.
 
         Raises:
-            NotOpenedError: when none can be had.
+            NotOpenedError: when no connection is available.
         """
         address = server.address
         idle = self._idle[address]
@@ -202,12 +215,12 @@
             await self._close(conn)
         if self._counts[address] >= self._max_connections(server):
             if not idle:
-                raise NotOpenedError("connections to the server are spent")
+                raise NotOpenedError("connection limit of the server reached")
             await self._close(idle.pop(0))
         return await self._open(address)
 
     async def release(self, conn: Connection) -> None:
-        """Keep a connection for the next request if nothing is left on it."""
+        """Return a connection to the pool, or close it if it is not reusable."""
         now = trio.current_time()
         conn.last_used_at = now
         if self._is_usable(conn, now):
@@ -216,11 +229,11 @@
             await self._close(conn)
 
     async def discard(self, conn: Connection) -> None:
-        """Close a connection whose request was cancelled or went wrong."""
+        """Close a connection whose request was cancelled or failed."""
         await self._close(conn)
 
     async def is_refused(self, address: str) -> bool:
-        """Return whether nothing accepts connections at an address now."""
+        """Return whether an address currently refuses connections."""
         try:
             conn = await self._open(address)
         except RefusedError:
@@ -231,7 +244,7 @@
         return False
 
     async def sweep(self) -> None:
-        """Close connections idle for too long, for ever."""
+        """Close connections beyond their idle limit or age, until cancelled."""
         while True:
             await trio.sleep(MAX_IDLE_S / 4)
             now = trio.current_time()
