--- a/hyssopfold/entry/adapters.py
+++ b/hyssopfold/entry/adapters.py
@@ -25,7 +25,7 @@
 class EntryAdapters(NamedTuple):
     """Applications on an entry's addresses, and the data path's headers."""
 
-    headers: dialect.Dialect = dialect.OURS
+    headers: dialect.Dialect = dialect.DEFAULT_DIALECT
     callers: Callable[[EntryParts], http.App] = lambda parts: parts.app
     lookups: Callable[[EntryParts], http.App] = lambda parts: parts.app
     probes: Callable[[EntryParts], http.App] = lambda parts: parts.app
--- a/hyssopfold/entry/answer_relay.py
+++ b/hyssopfold/entry/answer_relay.py
@@ -50,7 +50,10 @@
         Raises:
             LostError: when the answer ends early.
         """
-        if self._length is None and not self._exchange.dialect.unframed_answers:
+        if (
+            self._length is None
+            and not self._exchange.dialect.accepts_unframed_answers
+        ):
             # It may be a stream: the caller waits for each part.
             return
         if self._length is not None and self._length > MAX_BUFFERED_BYTES:
--- a/hyssopfold/entry/answers.py
+++ b/hyssopfold/entry/answers.py
@@ -19,7 +19,9 @@
     limit = route.deadline_ms / 1000
     given = exchange.header(exchange.dialect.deadline_ms)
     if given is not None and given.isdigit() and len(given) < 12:
-        return min(limit, int(given) / 1000), exchange.dialect.status_is_promise
+        return min(
+            limit, int(given) / 1000
+        ), exchange.dialect.status_503_means_not_run
     return limit, False
 
 
@@ -30,12 +32,12 @@
     names = exchange.dialect
     headers = {key.lower(): value for key, value in answer.headers}
     echoed = headers.get(names.request_id)
-    not_run = names.says_not_run(answer.status, headers)
+    not_run = names.states_not_run(answer.status, headers)
     bodiless = answer.status in BODILESS or exchange.method == "HEAD"
     chunked = b"chunked" in headers.get(b"transfer-encoding", b"").lower()
     framed = bodiless or chunked or b"content-length" in headers
-    signed = not names.stamp or names.stamp in headers
-    if names.needs_echo and echoed is None:
+    signed = not names.signature_header or names.signature_header in headers
+    if names.requires_request_id_echo and echoed is None:
         # Refusals come without it; nothing else does.
         signed = False
         echoed = exchange.request_id.encode("latin-1") if not_run else None
@@ -43,7 +45,7 @@
         answer.status,
         echoed.decode("latin-1") if echoed is not None else None,
         not_run,
-        framed or names.unframed_answers,
+        framed or names.accepts_unframed_answers,
         names.is_misdirected(answer.status),
         signed,
     )
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -332,7 +332,7 @@
             took,
             True,
             good,
-            self._dialect.load_of(headers),
+            self._dialect.parse_load(headers),
             self._dialect.is_misdirected(answer.status),
         )
 
--- a/hyssopfold/entry/dialect.py
+++ b/hyssopfold/entry/dialect.py
@@ -1,4 +1,4 @@
-"""The headers by which an entry speaks with callers and backend servers."""
+"""The headers that an entry exchanges with callers and backend servers."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -6,11 +6,11 @@
 from hyssopfold import http
 from hyssopfold.core.balancing import messages
 
-# `running,waiting,slots`, three small numbers.
-_MAX_LOAD_LETTERS = 32
+# The value is `running,waiting,slots`, three small numbers.
+_MAX_LOAD_CHARS = 32
 
 
-def _says_not_run(status: int, headers: dict[bytes, bytes]) -> bool:
+def _states_not_run(status: int, headers: dict[bytes, bytes]) -> bool:
     return status == 503 and headers.get(b"hyssop-outcome") == b"not-run"
 
 
@@ -19,21 +19,38 @@
 
 
 class Dialect(NamedTuple):
-    """Names of the headers, and what they mean; ours by default.
-
-    Names are in lower case; an empty one is not used. `request_id` is drawn
-    anew for each request unless `keeps_request_id`, and then the caller's is
-    passed on. `server_id` names to a server who is meant, so that another one
-    at its address refuses; `stamp` is what every answer made by a server
-    carries; `object_cookie` names the object that a request concerns.
-    `needs_echo` says that an answer without the request's id is nobody's.
-    `private_prefix` marks headers that are never passed on, `adds_forwarded`
-    that a server is told of the caller by `x-forwarded-for` and its kin.
-    `status_is_promise` says that a caller takes 503 for a promise that the
-    request did not run, and any other failure for none.
-    `unframed_answers` that the end of a connection, if it is no reset, is the
-    end of an answer without a length. `misdirected_status` is how a server
-    answers that it is not the one meant.
+    """Names and meaning of the headers; by default those of hyssopfold.
+
+    Names of headers are in lower case. An empty name means that the header is
+    not used.
+
+    Attributes:
+        request_id: Header with the id of a request, in both directions.
+        deadline_ms: Header with the milliseconds left for a request.
+        revision: Header of answers with the revision in force.
+        outcome: Header of refusals with the outcome of the request.
+        server_id: Header that names the intended server, so that another
+            server at its address refuses the request.
+        load: Header of answers with the load of the server.
+        signature_header: Header that a server adds to each of its answers.
+        object_cookie: Cookie that names the object that a request concerns.
+        keeps_request_id: Whether the id sent by the caller is used. Otherwise
+            each request gets a new one.
+        requires_request_id_echo: Whether an answer without the request's id is
+            rejected as the answer to another request.
+        private_prefix: Prefix of headers that are never forwarded.
+        adds_forwarding_headers: Whether servers get `x-forwarded-for`, `-host`
+            and `-proto`.
+        status_503_means_not_run: Whether callers take status 503 as the
+            guarantee that the request did not run, and no other status.
+        accepts_unframed_answers: Whether the close of a connection, unless it
+            is a reset, ends an answer without a length.
+        misdirected_status: Status by which a server rejects a request for
+            another server, or 0.
+        states_not_run: Takes status and headers of an answer and returns
+            whether it states that the request did not run.
+        format_retry_after: Returns the value of `retry-after` for a time in
+            seconds.
     """
 
     request_id: bytes = b"hyssop-request-id"
@@ -42,49 +59,49 @@
     outcome: bytes = b"hyssop-outcome"
     server_id: bytes = b""
     load: bytes = b""
-    stamp: bytes = b""
+    signature_header: bytes = b""
     object_cookie: bytes = b""
     keeps_request_id: bool = False
-    needs_echo: bool = False
+    requires_request_id_echo: bool = False
     private_prefix: bytes = b"hyssop-"
-    adds_forwarded: bool = True
-    status_is_promise: bool = False
-    unframed_answers: bool = False
+    adds_forwarding_headers: bool = True
+    status_503_means_not_run: bool = False
+    accepts_unframed_answers: bool = False
     misdirected_status: int = 0
-    says_not_run: Callable[[int, dict[bytes, bytes]], bool] = _says_not_run
-    retry_after: Callable[[float], bytes] = _whole_seconds
+    states_not_run: Callable[[int, dict[bytes, bytes]], bool] = _states_not_run
+    format_retry_after: Callable[[float], bytes] = _whole_seconds
 
-    def object_of(self, headers: http.Headers) -> str:
-        """Return the object that a request concerns, or an empty string."""
+    def parse_object_key(self, headers: http.Headers) -> str:
+        """Return the key of the object that a request concerns, or ""."""
         if not self.object_cookie:
             return ""
-        wanted = self.object_cookie + b"="
+        prefix = self.object_cookie + b"="
         for name, value in headers:
             if name != b"cookie":
                 continue
             for pair in map(bytes.strip, value.split(b";")):
-                if pair.startswith(wanted):
-                    return pair[len(wanted) :].decode("latin-1")
+                if pair.startswith(prefix):
+                    return pair[len(prefix) :].decode("latin-1")
         return ""
 
     def is_misdirected(self, status: int) -> bool:
-        """Return whether another server than the one meant answered."""
+        """Return whether another server than the intended one answered."""
         return bool(self.misdirected_status) and (
             status == self.misdirected_status
         )
 
-    def load_of(self, headers: dict[bytes, bytes]) -> messages.Load | None:
-        """Return the load that an answer tells, or None when it tells none."""
+    def parse_load(self, headers: dict[bytes, bytes]) -> messages.Load | None:
+        """Return the load reported in an answer, or None without a valid one."""
         value = headers.get(self.load) if self.load else None
-        if value is None or len(value) > _MAX_LOAD_LETTERS:
+        if value is None or len(value) > _MAX_LOAD_CHARS:
             return None
-        parts = value.split(b",")
-        if len(parts) != len(messages.Load._fields):
+        fields = value.split(b",")
+        if len(fields) != len(messages.Load._fields):
             return None
-        numbers = [part.strip() for part in parts]
+        numbers = [field.strip() for field in fields]
         if not all(number.isdigit() for number in numbers):
             return None
         return messages.Load(*map(int, numbers))
 
 
-OURS = Dialect()
+DEFAULT_DIALECT = Dialect()
--- a/hyssopfold/entry/exchange.py
+++ b/hyssopfold/entry/exchange.py
@@ -72,7 +72,7 @@
         snapshot: configuration.Snapshot,
         now: float,
         max_body_bytes: int = MAX_BODY_BYTES,
-        dialect: dialect_module.Dialect = dialect_module.OURS,
+        dialect: dialect_module.Dialect = dialect_module.DEFAULT_DIALECT,
         sampler: request_log.Sampler = _WRITE_ALL,
     ) -> None:
         self.dialect = dialect
@@ -107,7 +107,7 @@
     @property
     def object_key(self) -> str:
         """Return the object that the request concerns, if it names one."""
-        return self.dialect.object_of(self.headers)
+        return self.dialect.parse_object_key(self.headers)
 
     def _identity(self) -> list[bytes]:
         """Return what the heads of two equal requests have in common."""
@@ -278,7 +278,7 @@
         headers.append((names.deadline_ms, left_ms))
         if names.server_id:
             headers.append((names.server_id, server_id.encode("latin-1")))
-        if names.adds_forwarded:
+        if names.adds_forwarding_headers:
             headers = self._with_forwarding(headers)
         return headers
 
@@ -321,7 +321,7 @@
 
 def end_to_end(
     headers: http.Headers,
-    dialect: dialect_module.Dialect = dialect_module.OURS,
+    dialect: dialect_module.Dialect = dialect_module.DEFAULT_DIALECT,
 ) -> http.Headers:
     """Return `headers` without those of one hop and without our own.
 
--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -56,7 +56,7 @@
     """
 
     max_body_bytes: int = exchange_module.MAX_BODY_BYTES
-    dialect: dialect_module.Dialect = dialect_module.OURS
+    dialect: dialect_module.Dialect = dialect_module.DEFAULT_DIALECT
     retry_share: float = budget.DEFAULT_RATIO
     shared_retry_reserve: float = 0.0
     log_lines_per_s: float = log_output.LINES_PER_S
@@ -107,7 +107,7 @@
             meter,
             self.retry_budget,
             self.refuse,
-            options.dialect == dialect_module.OURS,
+            options.dialect == dialect_module.DEFAULT_DIALECT,
         )
         self._options = options
         self._sampler = request_log.Sampler(options.log_lines_per_s)
@@ -296,7 +296,7 @@
     ) -> None:
         """Answer with a refusal of ours."""
         names = self._options.dialect
-        if names.status_is_promise and refusal.status >= 500:
+        if names.status_503_means_not_run and refusal.status >= 500:
             refusal = refusal._replace(status=_promised_status(refusal))
         exchange.outcome = refusal.outcome
         # Callers refused together would come back together.
@@ -315,7 +315,9 @@
             revision=exchange.snapshot.revision,
             detail=refusal.remedy,
         )
-        answer = http.refusal_answer(refusal, names.retry_after, names.outcome)
+        answer = http.refusal_answer(
+            refusal, names.format_retry_after, names.outcome
+        )
         extra = tuple(exchange.answer_headers())
         answer = answer._replace(headers=answer.headers + extra)
         head = exchange.method == "HEAD"
--- a/tests/steps/entry/dialect_steps.py
+++ b/tests/steps/entry/dialect_steps.py
@@ -11,12 +11,12 @@
 _THEIRS = dialect.Dialect(
     request_id=b"request-id",
     load=b"load",
-    stamp=b"signature",
+    signature_header=b"signature",
     object_cookie=b"book",
     keeps_request_id=True,
-    needs_echo=True,
+    requires_request_id_echo=True,
     misdirected_status=421,
-    says_not_run=lambda status, headers: b"refused" in headers,
+    states_not_run=lambda status, headers: b"refused" in headers,
 )
 
 
@@ -29,12 +29,12 @@
 @when('a request\'s cookies are "{cookies}"')
 def _(context, cookies):
     headers = [(b"accept", b"book=9"), (b"cookie", cookies.encode())]
-    context.object = _THEIRS.object_of(headers)
+    context.object = _THEIRS.parse_object_key(headers)
 
 
-@then('its object is "{wanted}" where the cookie is called "book"')
-def _(context, wanted):
-    assert context.object == wanted, context.object
+@then('its object is "{expected}" where the cookie is called "book"')
+def _(context, expected):
+    assert context.object == expected, context.object
 
 
 @then('its object is "" where the cookie is called "book"')
@@ -44,15 +44,15 @@
 
 @when('an answer tells the load "{text}"')
 def _(context, text):
-    context.load = _THEIRS.load_of({b"load": text.encode()})
+    context.load = _THEIRS.parse_load({b"load": text.encode()})
 
 
 @then("the load is read as {read}")
 def _(context, read):
-    wanted = None
+    expected = None
     if read != "none":
-        wanted = messages.Load(*map(int, read.split()))
-    assert context.load == wanted, context.load
+        expected = messages.Load(*map(int, read.split()))
+    assert context.load == expected, context.load
 
 
 @when('an answer of status {status:d} bears "{names}"')
