--- a/hyssopfold/entry/answer_relay.py
+++ b/hyssopfold/entry/answer_relay.py
@@ -36,7 +36,7 @@
         self._answer = answer
         self._exchange = exchange
         self._wait_for_link = wait_for_link
-        self._length = answers.length_of(answer)
+        self._length = answers.content_length(answer)
         self._stream = upstream.body_parts(answer)
         self._buffered: list[bytes] = []
         self._is_complete = False
@@ -101,8 +101,8 @@
 
     def _headers(self) -> http.Headers:
         answer, dialect = self._answer, self._exchange.dialect
-        headers = exchange_module.end_to_end(answer.headers, dialect)
-        if answer.status in answers.BODILESS:
+        headers = exchange_module.end_to_end_headers(answer.headers, dialect)
+        if answer.status in answers.BODILESS_STATUSES:
             headers = [
                 header for header in headers if header[0] != b"content-length"
             ]
--- a/hyssopfold/entry/answers.py
+++ b/hyssopfold/entry/answers.py
@@ -1,4 +1,4 @@
-"""What an answer of a backend server, or the lack of one, means."""
+"""Interprets answers of backend servers, and refuses requests without one."""
 
 import httpcore
 
@@ -9,55 +9,73 @@
 from hyssopfold.entry import exchange as exchange_module
 
 # Statuses of answers that have no body.
-BODILESS = (204, 304)
+BODILESS_STATUSES = (204, 304)
 
 
-def limit(
+def time_limit(
     exchange: exchange_module.Exchange, route: tables.Route
 ) -> tuple[float, bool]:
-    """Return the time limit, and whether the caller itself counts it."""
-    limit = route.deadline_ms / 1000
-    given = exchange.header(exchange.dialect.deadline_ms)
-    if given is not None and given.isdigit() and len(given) < 12:
+    """Return the time limit of a request.
+
+    Args:
+        exchange: The request.
+        route: Its route.
+
+    Returns:
+        The limit in seconds, and whether it counts from the request's head
+        alone since the caller applies it too.
+    """
+    limit_s = route.deadline_ms / 1000
+    value = exchange.header(exchange.dialect.deadline_ms)
+    if value is not None and value.isdigit() and len(value) < 12:
         return min(
-            limit, int(given) / 1000
+            limit_s, int(value) / 1000
         ), exchange.dialect.status_503_means_not_run
-    return limit, False
+    return limit_s, False
 
 
-def began(
+def answer_began(
     exchange: exchange_module.Exchange, answer: httpcore.Response
 ) -> events.AnswerBegan:
-    """Return what an answer's head tells, for the decisions on it."""
-    names = exchange.dialect
+    """Return the event of an answer's head for the state machine.
+
+    Args:
+        exchange: The request.
+        answer: The answer, of which the head was read.
+    """
+    dialect = exchange.dialect
     headers = {key.lower(): value for key, value in answer.headers}
-    echoed = headers.get(names.request_id)
-    not_run = names.states_not_run(answer.status, headers)
-    bodiless = answer.status in BODILESS or exchange.method == "HEAD"
-    chunked = b"chunked" in headers.get(b"transfer-encoding", b"").lower()
-    framed = bodiless or chunked or b"content-length" in headers
-    signed = not names.signature_header or names.signature_header in headers
-    if names.requires_request_id_echo and echoed is None:
-        # Refusals come without it; nothing else does.
-        signed = False
+    echoed = headers.get(dialect.request_id)
+    not_run = dialect.states_not_run(answer.status, headers)
+    is_bodiless = (
+        answer.status in BODILESS_STATUSES or exchange.method == "HEAD"
+    )
+    is_chunked = b"chunked" in headers.get(b"transfer-encoding", b"").lower()
+    is_framed = is_bodiless or is_chunked or b"content-length" in headers
+    is_signed = (
+        not dialect.signature_header or dialect.signature_header in headers
+    )
+    if dialect.requires_request_id_echo and echoed is None:
+        # Only refusals are sent without the request's id.
+        is_signed = False
         echoed = exchange.request_id.encode("latin-1") if not_run else None
     return events.AnswerBegan(
         answer.status,
         echoed.decode("latin-1") if echoed is not None else None,
         not_run,
-        framed or names.accepts_unframed_answers,
-        names.is_misdirected(answer.status),
-        signed,
+        is_framed or dialect.accepts_unframed_answers,
+        dialect.is_misdirected(answer.status),
+        is_signed,
     )
 
 
-def shown_age(age_s: float) -> str:
-    """Return an age in seconds as a log line shows it."""
+def format_age(age_s: float) -> str:
+    """Return the text of an age in seconds for a log line."""
     return "never" if age_s >= messages.NEVER_S else f"{age_s:.3f}"
 
 
-def length_of(answer: httpcore.Response) -> int | None:
-    """Return the stated size of an answer's body in bytes, if there is one."""
+def content_length(answer: httpcore.Response) -> int | None:
+    """Return the `content-length` of an answer in bytes, or None."""
     for key, value in answer.headers:
         if key.lower() == b"content-length":
             return int(value)
@@ -65,12 +83,17 @@
 
 
 def refusal(effect: events.Refuse, pool: str) -> http.Refusal:
-    """Return what the caller of a request without an answer is told."""
-    wait_s = effect.retry_after_s
+    """Return the refusal of a request that got no answer.
+
+    Args:
+        effect: The effect of the state machine.
+        pool: Name of the pool.
+    """
+    retry_after_s = effect.retry_after_s
     if effect.error == "quarantined":
         remedy = f"mend the servers of pool {pool}: several crashed under it"
         return http.Refusal(
-            503, effect.error, effect.outcome.value, remedy, wait_s
+            503, effect.error, effect.outcome.value, remedy, retry_after_s
         )
     status = 504 if effect.error == "deadline-passed" else 502
     if effect.outcome is events.Outcome.UNKNOWN:
@@ -85,5 +108,5 @@
         effect.error,
         effect.outcome.value,
         f"{remedy} ({effect.reason})",
-        wait_s,
+        retry_after_s,
     )
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -53,9 +53,9 @@
         self._dialect = exchange.dialect
         self._route = route
         self._pool = pool
-        limit_s, is_absolute = answers.limit(exchange, route)
+        limit_s, is_absolute = answers.time_limit(exchange, route)
         # A request that stood behind others has used a part of its time.
-        limit_s = max(0.0, limit_s - (trio.current_time() - exchange.began))
+        limit_s = max(0.0, limit_s - (trio.current_time() - exchange.began_at))
         self._request = events.Request(
             exchange.request_id,
             route.is_repeatable(exchange.method),
@@ -163,7 +163,7 @@
     async def _read_suspect(self) -> None:
         """Read what tells whether a request is one that may be held back."""
         if self._dependencies.quarantine.knows(self._exchange.fingerprint_head):
-            await self._exchange.read_ahead()
+            await self._exchange.buffer_for_fingerprint()
 
     def _is_held(self, effect: events.Acquire) -> bool:
         """Return whether the next attempt is held back, as far as is known."""
@@ -204,7 +204,7 @@
             f"{self._route.name} {key}" if key else "",
             self._route.latency_goal_ms / 1000,
             self._route.name,
-            trio.current_time() - self._exchange.began,
+            trio.current_time() - self._exchange.began_at,
         )
 
     async def _send(self, effect: events.Send) -> events.Event:
@@ -232,7 +232,7 @@
             return events.AttemptFailed("body too large")
         if self._answer_stream is None or self._answer_by.cancelled_caught:
             return events.AttemptFailed("no answer in time")
-        return answers.began(exchange, self._answer_stream.answer)
+        return answers.answer_began(exchange, self._answer_stream.answer)
 
     async def _buffer_short_answer(self, server: membership.Server) -> None:
         assert self._answer_stream is not None
@@ -251,7 +251,7 @@
         wait = self._link_wait(server)
         self._note(events.BodyBegan())
         async for part in self._exchange.body():
-            if self._exchange.dropped and not self._told_dropped:
+            if self._exchange.body_dropped and not self._told_dropped:
                 self._told_dropped = True
                 self._tell(events.BodyDropped())
             await wait(part, self._exchange.length)
@@ -349,7 +349,7 @@
     async def _refuse(self, effect: events.Refuse) -> None:
         outcome = effect.outcome.value
         if effect.reason == "body too large":
-            refusal = exchange_module.too_large(
+            refusal = exchange_module.body_too_large(
                 outcome, exchange_module.MAX_BODY_BYTES
             )
         else:
@@ -372,7 +372,7 @@
             region=server.region,
             reason=grant.reason,
             load=round(grant.estimated_load, 2),
-            load_age_s=answers.shown_age(grant.load_age_s),
+            load_age_s=answers.format_age(grant.load_age_s),
             expected_s=round(grant.expected_s, 4),
             lease_left_s=round(lease_s, 3),
             cold=grant.is_cold,
--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -156,7 +156,7 @@
             receive,
             send,
             snapshot,
-            _began(scope),
+            _began_at(scope),
             self._options.max_body_bytes,
             self._options.dialect,
             self._sampler,
@@ -168,9 +168,9 @@
         self.in_flight += 1
         self._log_admitted(exchange, route, pool)
         try:
-            fault = exchange.fault()
-            if fault is not None:
-                await self.refuse(exchange, fault)
+            invalid = exchange.validation_refusal()
+            if invalid is not None:
+                await self.refuse(exchange, invalid)
             elif snapshot.revision == 0:
                 await self.refuse(exchange, _no_tables())
             elif route is None or pool is None:
@@ -184,7 +184,7 @@
                 "pool": pool.name if pool else "",
                 "outcome": exchange.outcome,
             }
-            took = trio.current_time() - exchange.began
+            took = trio.current_time() - exchange.began_at
             self._meter.requests.observe(labels, took)
             goal_s = route.latency_goal_ms / 1000 if route else 0.0
             self._log_end(exchange, took, goal_s)
@@ -199,7 +199,7 @@
         if headers.keys() & {b"content-length", b"transfer-encoding"}:
             return False
         router = self._config.snapshot.router
-        host = exchange_module.host_of(headers.get(b"host", b""))
+        host = exchange_module.parse_host(headers.get(b"host", b""))
         route = router.match(host, scope["path"], scope["method"])
         return route is not None and route.is_repeatable(scope["method"])
 
@@ -209,7 +209,7 @@
         route: tables.Route | None,
         pool: tables.Pool | None,
     ) -> None:
-        age_s = self._config.age_s(exchange.began)
+        age_s = self._config.age_s(exchange.began_at)
         exchange.log.add(
             logger,
             "admitted",
@@ -311,7 +311,7 @@
             status=refusal.status,
             outcome=refusal.outcome,
             retry_after_s=round(refusal.retry_after_s, 3),
-            held_s=round(trio.current_time() - exchange.began, 4),
+            held_s=round(trio.current_time() - exchange.began_at, 4),
             revision=exchange.snapshot.revision,
             detail=refusal.remedy,
         )
@@ -324,7 +324,7 @@
         await http.send_answer(exchange.send, answer, head)
 
 
-def _began(scope: http.Scope) -> float:
+def _began_at(scope: http.Scope) -> float:
     """Return when a request's head was read: its caller waits since then."""
     position = exchange_module.position_in_pipeline(scope)
     return position.read_at if position is not None else trio.current_time()
--- a/tests/steps/entry/dialect_steps.py
+++ b/tests/steps/entry/dialect_steps.py
@@ -69,7 +69,7 @@
     headers = [(name.encode(), b"r1") for name in names]
     headers.append((b"content-length", b"0"))
     answer = httpcore.Response(status, headers=headers)
-    context.began = answers.began(_Exchange(), answer)
+    context.began = answers.answer_began(_Exchange(), answer)
 
 
 @then("it is signed {signed}, not run {not_run}, misdirected {elsewhere}")
