--- a/hyssopfold/entry/attempt_dependencies.py
+++ b/hyssopfold/entry/attempt_dependencies.py
@@ -1,4 +1,4 @@
-"""What carrying requests takes, the same for all of them."""
+"""Services that the attempts of all requests of an entry share."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -18,39 +18,60 @@
 
 
 class Placement(Protocol):
-    """Slots of the servers."""
+    """Chooses servers for requests and counts their slots."""
 
     async def acquire(
         self, req: messages.Request, pool: tables.Pool
     ) -> messages.Grant | messages.Refused:
-        """Return a slot, or why there is none."""
+        """Return a slot for a request, or the reason for having none."""
 
     def release(
         self, grant: messages.Grant, result: messages.AttemptResult
     ) -> None:
-        """Give a slot back, with how the attempt ended."""
+        """Release a slot, with the result of the attempt that used it."""
 
     def in_flight(self) -> dict[str, int]:
-        """Return the requests under way by server."""
+        """Return the number of running requests by server id."""
 
 
 class Quarantine(Protocol):
-    """Requests that are held back since servers crashed under them."""
+    """Quarantine of requests that crashed the servers that ran them."""
 
     def knows(self, head: bytes) -> bool:
-        """Return whether a request with this head may be held back."""
+        """Return whether requests with this head may be quarantined.
+
+        Args:
+            head: Part of the fingerprint that depends on the head only.
+        """
 
     def holds(self, fingerprint: bytes, attempt: str) -> bool:
-        """Return whether an attempt must not be sent to any server now."""
+        """Return whether an attempt must not be sent to any server now.
+
+        Args:
+            fingerprint: Fingerprint of the request.
+            attempt: Id of the attempt.
+        """
 
     def answered(self, fingerprint: bytes) -> None:
-        """Take in that a request was answered."""
+        """Record that a request was answered without a crash."""
 
 
 class AttemptDependencies(NamedTuple):
-    """What carrying a request takes, the same for all requests.
-
-    `expects_silence` tells that kept connections may be dead without a sign.
+    """The services that `carrier.AttemptExecutor` uses for each request.
+
+    Attributes:
+        region: Region of the entry.
+        directory: Directory of the servers.
+        steering: Chooses the regions for a request.
+        placement: Chooses servers and counts their slots.
+        pacer: Shares the capacity of the links between regions.
+        upstream: Sends requests to the servers.
+        quarantine: Quarantine of requests that crash servers.
+        meter: Metrics of this process.
+        retry_budget: Returns the retry budget of a pool by its name.
+        refuse: Answers a request with a refusal.
+        may_use_stale_connections: Whether a pooled connection may be dead
+            although no reset arrived.
     """
 
     region: str
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -1,4 +1,4 @@
-"""Carry out what the attempts of one request decide."""
+"""Executes the effects of the state machine of a request's attempts."""
 
 from collections.abc import AsyncIterator
 import functools
@@ -23,19 +23,22 @@
 
 logger = logging.getLogger(__name__)
 
-# Bodies longer than this, or of unknown length, wait for room on a link
-# behind short ones.
-BULK_BYTES = 256 * 1024
-SERVER_FAILURE = 500
-# When the caller of a request that is held back may ask again.
+# Longer bodies, and bodies of unknown length, yield the capacity of a link
+# between regions to shorter ones.
+BULK_THRESHOLD_BYTES = 256 * 1024
+MIN_SERVER_ERROR_STATUS = 500
+# Seconds after which a caller may retry a quarantined request.
 QUARANTINED_RETRY_S = 60.0
 
 
 class AttemptExecutor:
-    """One request on its way to a server and back.
+    """Executes the attempts of one request; `proxy.Proxy` creates it.
+
+    It passes events to the state machine of `core.attempts` and executes the
+    effects: acquires slots, sends the request, relays or refuses the answer.
 
     Args:
-        parts: What all requests share.
+        dependencies: Services that all requests share.
         exchange: The request.
         route: Its route.
         pool: The pool that serves it.
@@ -53,15 +56,15 @@
         self._dialect = exchange.dialect
         self._route = route
         self._pool = pool
-        limit_s, is_absolute = answers.time_limit(exchange, route)
-        # A request that stood behind others has used a part of its time.
+        limit_s, is_total_limit = answers.time_limit(exchange, route)
+        # Time spent waiting for earlier requests of the connection counts.
         limit_s = max(0.0, limit_s - (trio.current_time() - exchange.began_at))
         self._request = events.Request(
             exchange.request_id,
             route.is_repeatable(exchange.method),
             exchange.has_body,
             limit_s,
-            is_absolute,
+            is_total_limit,
             route.attempts,
             dependencies.may_use_stale_connections,
         )
@@ -73,45 +76,49 @@
         )
         self._grant: messages.Grant | None = None
         self._granted_at = 0.0
-        self._answer_by = trio.CancelScope()
-        # Whether the connection of the attempt broke.
-        self._is_broken = False
-        self._told_dropped = False
+        self._answer_scope = trio.CancelScope()
+        # Whether the connection of the current attempt failed.
+        self._connection_failed = False
+        self._body_drop_reported = False
         self._answer_stream: upstream.AnswerStream | None = None
         self._relay: answer_relay.AnswerRelay | None = None
 
     @property
     def outcome(self) -> str:
-        """Return what is certain of the request, for its claim."""
+        """Return the outcome of the request for its claim."""
         if self._exchange.outcome == "answered":
             return "answered"
         return self._machine.outcome.value
 
     async def run(self) -> None:
-        """Carry the request from its head to its end."""
+        """Run the attempts of the request until it ends.
+
+        Raises:
+            CutAnswerError: when the answer to the caller must be cut.
+        """
         try:
-            await self._loop()
+            await self._run_effects()
         except exchange_module.CallerGoneError:
-            await self._caller_gone()
+            await self._abandon()
         except trio.Cancelled:
             with trio.CancelScope(shield=True):
-                await self._caller_gone()
+                await self._abandon()
             raise
 
-    async def _loop(self) -> None:
-        effects = self._tell(events.Started())
+    async def _run_effects(self) -> None:
+        effects = self._handle(events.Started())
         while effects:
             event: events.Event | None = None
             for effect in effects:
-                # Compared with None: an event without fields is false.
-                found = await self._carry(effect)
-                event = event if found is None else found
-            effects = self._tell(event) if event is not None else ()
+                # Compared with None since an event without fields is falsy.
+                next_event = await self._execute(effect)
+                event = event if next_event is None else next_event
+            effects = self._handle(event) if event is not None else ()
 
-    def _tell(self, event: events.Event) -> attempt.Effects:
+    def _handle(self, event: events.Event) -> attempt.Effects:
         return self._machine.handle(event, trio.current_time())
 
-    async def _carry(self, effect: events.Effect) -> events.Event | None:
+    async def _execute(self, effect: events.Effect) -> events.Event | None:
         match effect:
             case events.Acquire():
                 return await self._acquire(effect)
@@ -132,26 +139,30 @@
 
     async def _acquire(self, effect: events.Acquire) -> events.Event:
         dependencies, pool = self._dependencies, self._pool
-        refused = messages.Refused("deadline-passed", attempt.RETRY_AFTER_S)
-        answer: messages.Grant | messages.Refused = refused
+        deadline_refusal = messages.Refused(
+            "deadline-passed", attempt.RETRY_AFTER_S
+        )
+        answer: messages.Grant | messages.Refused = deadline_refusal
         with trio.move_on_at(effect.deadline):
             try:
-                await self._read_suspect()
+                await self._buffer_suspected_request()
             except exchange_module.BodyTooLargeError:
                 return events.NoSlot("body too large", attempt.RETRY_AFTER_S)
-            if self._is_held(effect):
+            if self._is_quarantined(effect):
                 return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
-            for avoid in self._avoid(effect.tried):
-                req = self._wanted(effect, avoid)
+            for avoided_ids in self._server_ids_to_avoid(effect.tried):
+                req = self._slot_request(effect, avoided_ids)
                 answer = await dependencies.placement.acquire(req, pool)
                 if isinstance(answer, messages.Grant):
                     break
         if isinstance(answer, messages.Refused):
             return events.NoSlot(answer.reason, answer.retry_after_s)
-        if self._is_held(effect):
-            # Since it began to wait for a slot.
-            unused = messages.AttemptResult("cancelled", 0.0, connected=False)
-            dependencies.placement.release(answer, unused)
+        if self._is_quarantined(effect):
+            # It was quarantined while it waited for the slot.
+            unused_slot = messages.AttemptResult(
+                "cancelled", 0.0, connected=False
+            )
+            dependencies.placement.release(answer, unused_slot)
             return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
         if not effect.tried:
             dependencies.steering.note(pool.name, self._decision, answer.server)
@@ -160,34 +171,48 @@
         self._log_grant(answer, effect)
         return events.Granted(answer.server.server_id)
 
-    async def _read_suspect(self) -> None:
-        """Read what tells whether a request is one that may be held back."""
+    async def _buffer_suspected_request(self) -> None:
+        """Buffer the body for the fingerprint if the head is quarantined."""
         if self._dependencies.quarantine.knows(self._exchange.fingerprint_head):
             await self._exchange.buffer_for_fingerprint()
 
-    def _is_held(self, effect: events.Acquire) -> bool:
-        """Return whether the next attempt is held back, as far as is known."""
-        held, exchange = self._dependencies.quarantine, self._exchange
-        if not held.knows(exchange.fingerprint_head):
+    def _is_quarantined(self, effect: events.Acquire) -> bool:
+        """Return whether the quarantine forbids the next attempt."""
+        quarantine, exchange = self._dependencies.quarantine, self._exchange
+        if not quarantine.knows(exchange.fingerprint_head):
             return False
         attempt_id = f"{exchange.request_id} {len(effect.tried)}"
-        return held.holds(exchange.fingerprint, attempt_id)
+        return quarantine.holds(exchange.fingerprint, attempt_id)
+
+    def _server_ids_to_avoid(
+        self, tried: tuple[str, ...]
+    ) -> list[tuple[str, ...]]:
+        """Return the servers to avoid, as alternatives in order of preference.
 
-    def _avoid(self, tried: tuple[str, ...]) -> list[tuple[str, ...]]:
-        """Return what to avoid: failure domains tried, else servers tried."""
+        First all servers in the failure domains of the tried ones, if others
+        are left, then only the tried ones.
+        """
         if not tried:
             return [()]
-        ready = self._dependencies.directory.ready_servers(self._pool.name)
-        domains = {
-            one.failure_domain for one in ready if one.server_id in tried
+        ready_servers = self._dependencies.directory.ready_servers(
+            self._pool.name
+        )
+        tried_domains = {
+            server.failure_domain
+            for server in ready_servers
+            if server.server_id in tried
+        }
+        ids_in_tried_domains = {
+            server.server_id
+            for server in ready_servers
+            if server.failure_domain in tried_domains
         }
-        near = {one.server_id for one in ready if one.failure_domain in domains}
-        if len(near) == len(ready):
+        if len(ids_in_tried_domains) == len(ready_servers):
             return [tried]
-        return [(*tried, *sorted(near - set(tried))), tried]
+        return [(*tried, *sorted(ids_in_tried_domains - set(tried))), tried]
 
-    def _wanted(
-        self, effect: events.Acquire, avoid: tuple[str, ...]
+    def _slot_request(
+        self, effect: events.Acquire, avoided_ids: tuple[str, ...]
     ) -> messages.Request:
         key = self._exchange.object_key if self._route.sticky else ""
         return messages.Request(
@@ -200,7 +225,7 @@
             ),
             self._route.priority,
             effect.deadline,
-            avoid,
+            avoided_ids,
             f"{self._route.name} {key}" if key else "",
             self._route.latency_goal_ms / 1000,
             self._route.name,
@@ -215,62 +240,64 @@
             exchange.method,
             exchange.target(),
             exchange.request_headers(left_s, server.server_id),
-            self._body(server) if exchange.has_body else None,
+            self._stream_body(server) if exchange.has_body else None,
         )
-        self._answer_by = trio.CancelScope(deadline=effect.deadline)
-        self._is_broken = False
+        self._answer_scope = trio.CancelScope(deadline=effect.deadline)
+        self._connection_failed = False
         try:
-            with self._answer_by:
+            with self._answer_scope:
                 self._answer_stream = await self._dependencies.upstream.send(
-                    server, outgoing, effect.fresh, self._note_bytes_sent
+                    server, outgoing, effect.fresh, self._on_bytes_sent
                 )
                 await self._buffer_short_answer(server)
         except upstream.LostError as exc:
-            self._is_broken = True
+            self._connection_failed = True
             return events.AttemptFailed(str(exc))
         except exchange_module.BodyTooLargeError:
             return events.AttemptFailed("body too large")
-        if self._answer_stream is None or self._answer_by.cancelled_caught:
+        if self._answer_stream is None or self._answer_scope.cancelled_caught:
             return events.AttemptFailed("no answer in time")
         return answers.answer_began(exchange, self._answer_stream.answer)
 
     async def _buffer_short_answer(self, server: membership.Server) -> None:
         assert self._answer_stream is not None
         if not self._request.is_total_limit:
-            # It has begun: from here on only a stall ends it.
-            self._answer_by.deadline = math.inf
+            # The answer has begun: from now on only the stall timeout applies.
+            self._answer_scope.deadline = math.inf
         self._relay = answer_relay.AnswerRelay(
             self._answer_stream.answer, self._exchange, self._link_wait(server)
         )
         await self._relay.buffer_short_answer()
 
-    def _note_bytes_sent(self) -> None:
-        self._tell(events.BytesSent())
+    def _on_bytes_sent(self) -> None:
+        self._handle(events.BytesSent())
 
-    async def _body(self, server: membership.Server) -> AsyncIterator[bytes]:
+    async def _stream_body(
+        self, server: membership.Server
+    ) -> AsyncIterator[bytes]:
         wait = self._link_wait(server)
-        self._note(events.BodyBegan())
+        self._apply_deadline(events.BodyBegan())
         async for part in self._exchange.body():
-            if self._exchange.body_dropped and not self._told_dropped:
-                self._told_dropped = True
-                self._tell(events.BodyDropped())
+            if self._exchange.body_dropped and not self._body_drop_reported:
+                self._body_drop_reported = True
+                self._handle(events.BodyDropped())
             await wait(part, self._exchange.length)
             yield part
-        self._note(events.BodySent())
+        self._apply_deadline(events.BodySent())
 
-    def _note(self, event: events.Event) -> None:
-        for effect in self._tell(event):
+    def _apply_deadline(self, event: events.Event) -> None:
+        for effect in self._handle(event):
             if isinstance(effect, events.SetAnswerDeadline):
-                self._answer_by.deadline = effect.deadline
+                self._answer_scope.deadline = effect.deadline
 
     def _link_wait(self, server: membership.Server) -> answer_relay.LinkWait:
-        """Return what waits for room on the link to a server."""
+        """Return a function that waits for capacity on a server's link."""
         dependencies = self._dependencies
 
         async def wait(part: bytes, length: int | None) -> None:
             if server.region != dependencies.region:
-                bulk = length is None or length > BULK_BYTES
-                await dependencies.pacer.take(server.region, len(part), bulk)
+                is_bulk = length is None or length > BULK_THRESHOLD_BYTES
+                await dependencies.pacer.take(server.region, len(part), is_bulk)
 
         return wait
 
@@ -280,23 +307,28 @@
         try:
             await self._relay.run(release)
         except upstream.LostError as exc:
-            self._is_broken = True
+            self._connection_failed = True
             return events.AttemptFailed(str(exc))
         return events.AnswerEnded()
 
     async def _end_attempt(self, kind: str) -> None:
-        """Give slot and connection back; close the latter unless answered."""
+        """Release the slot, and release or close the connection.
+
+        Args:
+            kind: `answered`, which keeps the connection, `failed` or
+                `cancelled`.
+        """
         grant, self._grant = self._grant, None
         if grant is None:
             return
         if kind == "failed":
-            kind = self._shed_or_failed()
+            kind = self._failure_kind()
         answer_stream, self._answer_stream = self._answer_stream, None
-        done = self._done(kind, answer_stream)
-        self._dependencies.placement.release(grant, done)
-        if done.healthy:
+        result = self._attempt_result(kind, answer_stream)
+        self._dependencies.placement.release(grant, result)
+        if result.healthy:
             self._dependencies.quarantine.answered(self._exchange.fingerprint)
-        self._log_attempt(grant, done, answer_stream)
+        self._log_attempt(grant, result, answer_stream)
         if kind == "failed":
             self._check_server(grant.server)
         if answer_stream is None:
@@ -307,42 +339,44 @@
             await self._dependencies.upstream.discard(answer_stream)
 
     def _check_server(self, server: membership.Server) -> None:
-        """Let it be checked whether a server crashed under this request."""
+        """Request a check whether a server crashed while it ran the request."""
         fingerprint = self._exchange.fingerprint
-        may_run = self._machine.last_sent is events.Sent.MAYBE_SENT
-        if self._is_broken and may_run and fingerprint:
+        may_have_run = self._machine.last_sent is events.Sent.MAYBE_SENT
+        if self._connection_failed and may_have_run and fingerprint:
             self._dependencies.upstream.checks.suspect(
                 crash_checks.Broken(
                     server, fingerprint, self._exchange.request_id
                 )
             )
 
-    def _done(
+    def _attempt_result(
         self, kind: str, answer_stream: upstream.AnswerStream | None
     ) -> messages.AttemptResult:
-        took = trio.current_time() - self._granted_at
+        duration_s = trio.current_time() - self._granted_at
         if answer_stream is None:
-            reached = self._machine.last_sent is not events.Sent.NOT_SENT
-            return messages.AttemptResult(kind, took, reached, False)
+            connected = self._machine.last_sent is not events.Sent.NOT_SENT
+            return messages.AttemptResult(kind, duration_s, connected, False)
         answer = answer_stream.answer
         headers = {key.lower(): value for key, value in answer.headers}
-        good = kind == "answered" and answer.status < SERVER_FAILURE
+        is_healthy = (
+            kind == "answered" and answer.status < MIN_SERVER_ERROR_STATUS
+        )
         return messages.AttemptResult(
             kind,
-            took,
+            duration_s,
             True,
-            good,
+            is_healthy,
             self._dialect.parse_load(headers),
             self._dialect.is_misdirected(answer.status),
         )
 
-    def _shed_or_failed(self) -> str:
-        shed = self._machine.last_sent is events.Sent.REFUSED_NOT_RUN
-        return "shed" if shed else "failed"
+    def _failure_kind(self) -> str:
+        was_shed = self._machine.last_sent is events.Sent.REFUSED_NOT_RUN
+        return "shed" if was_shed else "failed"
 
-    async def _caller_gone(self) -> None:
+    async def _abandon(self) -> None:
         if self._machine.phase is not attempt.Phase.DONE:
-            self._tell(events.CallerGone())
+            self._handle(events.CallerGone())
         self._exchange.outcome = "caller-gone"
         await self._end_attempt("cancelled")
 
@@ -384,20 +418,20 @@
     def _log_attempt(
         self,
         grant: messages.Grant,
-        done: messages.AttemptResult,
+        result: messages.AttemptResult,
         answer_stream: upstream.AnswerStream | None,
     ) -> None:
         status = answer_stream.answer.status if answer_stream is not None else 0
         self._dependencies.meter.attempts.observe(
-            {"pool": self._pool.name, "result": done.kind}, done.duration_s
+            {"pool": self._pool.name, "result": result.kind}, result.duration_s
         )
         self._exchange.log.add(
             logger,
             "attempt-ended",
             server=grant.server.server_id,
-            result=done.kind,
+            result=result.kind,
             status=status,
             sent=self._machine.last_sent.value,
-            detail="" if done.healthy else self._machine.last_reason,
-            took_s=round(done.duration_s, 4),
+            detail="" if result.healthy else self._machine.last_reason,
+            took_s=round(result.duration_s, 4),
         )
--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -1,4 +1,4 @@
-"""A caller's request on its way through an entry."""
+"""Data path of an entry: serves the requests of callers."""
 
 import logging
 import random
@@ -26,33 +26,37 @@
 
 logger = logging.getLogger(__name__)
 
-# How far apart callers that are refused together come back, as a multiple of
-# the time that they are told.
-_RETURN_SPREAD = (1.0, 3.0)
-_NO_TABLES_WAIT_S = 0.5
-_TABLES_BEHIND_WAIT_S = 0.2
+# Range of the random factor of `retry-after`, so that callers that are refused
+# together do not retry together.
+_RETRY_DELAY_FACTORS = (1.0, 3.0)
+_NO_TABLES_RETRY_S = 0.5
+_TABLES_BEHIND_RETRY_S = 0.2
 
 
 class EntryContext(NamedTuple):
-    """The entry's region, and its directory of the servers."""
+    """The entry's region and its directory of servers and instances."""
 
     region: str
     directory: directory.Directory
 
 
 class RequestGuards(NamedTuple):
-    """What may keep a request from running, wherever it is to go."""
+    """Checks that may keep a request from running at any server."""
 
     claims: claims.Claims
     quarantine: attempt_dependencies.Quarantine
 
 
 class CallerOptions(NamedTuple):
-    """How callers are served: the headers in use, limits, retries for them.
-
-    `max_body_bytes` is the largest body taken. Retries are `retry_share` for
-    each request of a pool; `shared_retry_reserve` is what all entries
-    together may save up, with 0 each has a reserve of its own.
+    """Options of the data path for callers.
+
+    Attributes:
+        max_body_bytes: Largest accepted body.
+        dialect: Names of the headers.
+        retry_share: Retries that each request of a pool adds to the budget.
+        shared_retry_reserve: Unused retries that all entries together may
+            keep. If 0, each entry has its own reserve.
+        log_lines_per_s: Log lines of successful requests per second.
     """
 
     max_body_bytes: int = exchange_module.MAX_BODY_BYTES
@@ -66,19 +70,22 @@
 
 
 class Proxy:
-    """Route requests to backend servers and relay their answers.
+    """Routes requests to backend servers and relays their answers.
 
     Args:
         config: Source of the tables in force.
-        steer: Regions that may serve a request.
-        place: Slots of the servers.
-        pacer: Room on the links between regions.
-        servers: Connections to the servers.
+        region_steering: Chooses the regions that may serve a request.
+        placement: Chooses servers and counts their slots.
+        pacer: Shares the capacity of the links between regions.
+        backends: Sends requests to the servers.
         meter: Metrics of this process.
         guards: Claims on idempotency keys, and the quarantine.
-        here: Where this entry is, and whom it knows.
-        rng: Spreads the times at which refused callers come back.
-        callers: How they are served.
+        context: Region and directory of this entry.
+        rng: Draws the delays of refused callers.
+        options: Options for callers.
+
+    Attributes:
+        in_flight: Number of running requests.
     """
 
     def __init__(
@@ -119,37 +126,38 @@
 
     @property
     def log_lines_left_out(self) -> int:
-        """Return the lines of good requests that were not written."""
+        """Return the number of log lines of successful requests left out."""
         return self._sampler.left_out
 
     def retry_budget(self, pool: str) -> budget.RetryBudget:
-        """Return the retries that this entry may still make in a pool."""
-        held = self._budgets.get(pool)
-        if held is None:
-            held = self._budgets[pool] = budget.RetryBudget(
+        """Return this entry's retry budget for a pool."""
+        retry_budget = self._budgets.get(pool)
+        if retry_budget is None:
+            retry_budget = self._budgets[pool] = budget.RetryBudget(
                 self._options.retry_share
             )
-            held.left = held.reserve = self._reserve()
-        held.reserve = self._reserve()
-        return held
+            retry_budget.left = retry_budget.reserve = self._reserve()
+        retry_budget.reserve = self._reserve()
+        return retry_budget
 
     def _reserve(self) -> float:
-        """Return this entry's part of what all may save up.
+        """Return this entry's part of the shared retry reserve.
 
-        The parts add up to the whole when each entry knows as many others;
-        one that knows fewer, cut off, is alone with its part of the callers.
+        The parts add up to the reserve if all entries know the same number of
+        entries. An entry in a network partition knows fewer and gets a larger
+        part, but serves only the callers on its side.
         """
-        shared = self._options.shared_retry_reserve
-        if not shared:
+        shared_reserve = self._options.shared_retry_reserve
+        if not shared_reserve:
             return budget.DEFAULT_RESERVE
-        return shared / max(
+        return shared_reserve / max(
             1, len(self._dependencies.directory.ready_entries())
         )
 
     async def serve(
         self, scope: http.Scope, receive: http.Receive, send: http.Send
     ) -> None:
-        """Answer one request of a caller."""
+        """Serve one request of a caller; an ASGI application."""
         snapshot = self._config.snapshot
         exchange = exchange_module.Exchange(
             scope,
@@ -164,7 +172,7 @@
         route = snapshot.router.match(
             exchange.host, scope["path"], exchange.method
         )
-        pool = self._pool(exchange, route) if route else None
+        pool = self._select_pool(exchange, route) if route else None
         self.in_flight += 1
         self._log_admitted(exchange, route, pool)
         try:
@@ -174,9 +182,9 @@
             elif snapshot.revision == 0:
                 await self.refuse(exchange, _no_tables())
             elif route is None or pool is None:
-                await self.refuse(exchange, self._unrouted())
+                await self.refuse(exchange, self._no_matching_route())
             else:
-                await self._serve_once(exchange, route, pool)
+                await self._serve_routed(exchange, route, pool)
         finally:
             self.in_flight -= 1
             labels = {
@@ -184,16 +192,20 @@
                 "pool": pool.name if pool else "",
                 "outcome": exchange.outcome,
             }
-            took = trio.current_time() - exchange.began_at
-            self._meter.requests.observe(labels, took)
+            took_s = trio.current_time() - exchange.began_at
+            self._meter.requests.observe(labels, took_s)
             goal_s = route.latency_goal_ms / 1000 if route else 0.0
-            self._log_end(exchange, took, goal_s)
+            self._log_ended(exchange, took_s, goal_s)
 
     def may_run_concurrently(self, scope: http.Scope) -> bool:
-        """Return whether a request may run beside others of its connection.
+        """Return whether a request may run concurrently on its connection.
 
-        It may where it may be repeated: the caller has not waited for what
-        the others do, and does not mind in which order they are done.
+        A request without a body may if it is repeatable: the caller has sent it
+        without waiting for the effects of the others, so their order does not
+        matter.
+
+        Args:
+            scope: ASGI scope of the request.
         """
         headers = dict(scope["headers"])
         if headers.keys() & {b"content-length", b"transfer-encoding"}:
@@ -224,7 +236,7 @@
             revision_age_s=round(age_s, 3),
         )
 
-    def _log_end(
+    def _log_ended(
         self,
         exchange: exchange_module.Exchange,
         took_s: float,
@@ -245,18 +257,20 @@
             goal_s=goal_s,
             fingerprint=exchange.fingerprint.hex(),
         )
-        in_time = not goal_s or took_s <= goal_s
-        good = exchange.outcome == "answered" and in_time
-        exchange.log.end(good and exchange.status < carrier.SERVER_FAILURE)
+        is_in_time = not goal_s or took_s <= goal_s
+        is_good = exchange.outcome == "answered" and is_in_time
+        exchange.log.end(
+            is_good and exchange.status < carrier.MIN_SERVER_ERROR_STATUS
+        )
 
-    def _unrouted(self) -> http.Refusal:
-        """Return the answer to a request that no route in force matches.
+    def _no_matching_route(self) -> http.Refusal:
+        """Return the refusal of a request that no route in force matches.
 
-        A newer revision that is known of may have added the route.
+        A newer revision that is still being fetched may have added the route.
         """
         return _tables_behind() if self._config.is_behind else _no_route()
 
-    def _pool(
+    def _select_pool(
         self, exchange: exchange_module.Exchange, route: tables.Route
     ) -> tables.Pool | None:
         name = route.pool
@@ -264,22 +278,22 @@
             name = splits.pick(route.split, exchange.request_id)
         return exchange.snapshot.tables.pool(name)
 
-    async def _serve_once(
+    async def _serve_routed(
         self,
         exchange: exchange_module.Exchange,
         route: tables.Route,
         pool: tables.Pool,
     ) -> None:
-        """Serve a request, but not again under the same idempotency key."""
-        keyed = exchange.header(b"idempotency-key") is not None
-        if not keyed or route.is_repeatable(exchange.method):
+        """Serve a request, at most once for the same idempotency key."""
+        has_key = exchange.header(b"idempotency-key") is not None
+        if not has_key or route.is_repeatable(exchange.method):
             await carrier.AttemptExecutor(
                 self._dependencies, exchange, route, pool
             ).run()
             return
-        held = await self._claims.claim(exchange)
-        if isinstance(held, http.Refusal):
-            await self.refuse(exchange, held)
+        claim = await self._claims.claim(exchange)
+        if isinstance(claim, http.Refusal):
+            await self.refuse(exchange, claim)
             return
         executor = carrier.AttemptExecutor(
             self._dependencies, exchange, route, pool
@@ -288,20 +302,30 @@
             await executor.run()
         finally:
             self._claims.settle(
-                held, exchange.request_id, executor.outcome, exchange.status
+                claim, exchange.request_id, executor.outcome, exchange.status
             )
 
     async def refuse(
         self, exchange: exchange_module.Exchange, refusal: http.Refusal
     ) -> None:
-        """Answer with a refusal of ours."""
-        names = self._options.dialect
-        if names.status_503_means_not_run and refusal.status >= 500:
-            refusal = refusal._replace(status=_promised_status(refusal))
+        """Answer a request with a refusal of this entry.
+
+        Args:
+            exchange: The request.
+            refusal: The refusal; its `retry_after_s` is multiplied by a random
+                factor.
+        """
+        dialect = self._options.dialect
+        if dialect.status_503_means_not_run and refusal.status >= 500:
+            refusal = refusal._replace(
+                status=_status_for_not_run_guarantee(refusal)
+            )
         exchange.outcome = refusal.outcome
-        # Callers refused together would come back together.
-        spread = self._rng.uniform(*_RETURN_SPREAD)
-        refusal = refusal._replace(retry_after_s=refusal.retry_after_s * spread)
+        # Callers that are refused together must not retry together.
+        delay_factor = self._rng.uniform(*_RETRY_DELAY_FACTORS)
+        refusal = refusal._replace(
+            retry_after_s=refusal.retry_after_s * delay_factor
+        )
         exchange.status = refusal.status
         self._meter.refusals.inc({"error": refusal.error})
         exchange.log.add(
@@ -316,22 +340,22 @@
             detail=refusal.remedy,
         )
         answer = http.refusal_answer(
-            refusal, names.format_retry_after, names.outcome
+            refusal, dialect.format_retry_after, dialect.outcome
         )
-        extra = tuple(exchange.answer_headers())
-        answer = answer._replace(headers=answer.headers + extra)
-        head = exchange.method == "HEAD"
-        await http.send_answer(exchange.send, answer, head)
+        extra_headers = tuple(exchange.answer_headers())
+        answer = answer._replace(headers=answer.headers + extra_headers)
+        is_head = exchange.method == "HEAD"
+        await http.send_answer(exchange.send, answer, is_head)
 
 
 def _began_at(scope: http.Scope) -> float:
-    """Return when a request's head was read: its caller waits since then."""
+    """Return the time at which a request's head was read, or now."""
     position = exchange_module.position_in_pipeline(scope)
     return position.read_at if position is not None else trio.current_time()
 
 
-def _promised_status(refusal: http.Refusal) -> int:
-    """Return the status for callers to whom 503 promises `not-run`."""
+def _status_for_not_run_guarantee(refusal: http.Refusal) -> int:
+    """Return the status for callers that take only 503 as `not-run`."""
     if refusal.outcome == "not-run":
         return 503
     return 504 if refusal.error == "deadline-passed" else 502
@@ -346,10 +370,10 @@
 def _tables_behind() -> http.Refusal:
     remedy = "ask again soon: this entry is fetching newer tables"
     return http.Refusal(
-        503, "tables-behind", "not-run", remedy, _TABLES_BEHIND_WAIT_S
+        503, "tables-behind", "not-run", remedy, _TABLES_BEHIND_RETRY_S
     )
 
 
 def _no_tables() -> http.Refusal:
     remedy = "ask again soon: this entry has not learned the tables yet"
-    return http.Refusal(503, "no-tables", "not-run", remedy, _NO_TABLES_WAIT_S)
+    return http.Refusal(503, "no-tables", "not-run", remedy, _NO_TABLES_RETRY_S)
