--- a/hyssopfold/entry/adapters.py
+++ b/hyssopfold/entry/adapters.py
@@ -1,7 +1,8 @@
-"""How an entry is spoken to from outside; by its own interface by default.
+"""Adapters of an entry to another protocol than its own HTTP interface.
 
-Whoever embeds the daemon where another protocol is spoken gives adapters: the
-headers of the data path, and applications that translate to those below.
+A program that embeds the daemon passes adapters to
+`application.run_entry`: the headers of the data path, and ASGI applications
+that translate requests for the objects in `EntryParts`.
 """
 
 from collections.abc import Callable
@@ -15,7 +16,13 @@
 
 
 class EntryParts(NamedTuple):
-    """What of an entry can be called from outside."""
+    """The objects of an entry that adapters may call.
+
+    Attributes:
+        app: The entry's own ASGI application.
+        forward: Data path: serves the requests of callers.
+        look_up: Answers look-ups.
+    """
 
     app: app.App
     forward: proxy.Proxy
@@ -23,7 +30,14 @@
 
 
 class EntryAdapters(NamedTuple):
-    """Applications on an entry's addresses, and the data path's headers."""
+    """The headers of the data path, and factories of ASGI applications.
+
+    Attributes:
+        headers: Headers of requests and answers.
+        callers: Returns the application at `http_address`.
+        lookups: Returns the application at `lookup_address`.
+        probes: Returns the application at `probe_address`.
+    """
 
     headers: dialect.Dialect = dialect.DEFAULT_DIALECT
     callers: Callable[[EntryParts], http.App] = lambda parts: parts.app
--- a/hyssopfold/entry/app.py
+++ b/hyssopfold/entry/app.py
@@ -1,4 +1,4 @@
-"""The HTTP face of an entry: look-ups, announcements, probes, requests."""
+"""ASGI application of an entry: look-ups, announcements, probes, requests."""
 
 from collections.abc import Callable
 import math
@@ -17,64 +17,67 @@
 from hyssopfold.entry import status as entry_status
 from hyssopfold.transport import gossip
 
-_OURS = "/hyssop/"
+_API_PREFIX = "/hyssop/"
 MAX_AGE_READY_S = 60.0
 
 
 class App:
-    """Dispatch what comes to an entry.
+    """Dispatches the HTTP requests that an entry receives.
+
+    Requests under `/hyssop/` and `/metrics` are served here, all others are
+    requests of callers and go to the data path.
 
     Args:
-        look_up: Answers to look-ups.
-        status: What operators are told.
+        lookup_handler: Answers look-ups.
+        status: Answers status requests of operators.
         config: Source of the tables in force.
-        spread: Directory and spreading of announcements.
-        forward: Way of callers' requests.
-        place: Counts of requests under way, for the metrics.
+        gossip_service: Keeps the directory and distributes announcements.
+        data_path: Serves the requests of callers.
+        placement: Counts the running requests, for the metrics.
         meter: Metrics of this process.
-        announcers: Lets backend servers through.
-        output: Where the log goes.
+        announcement_guard: Authenticates announcements of backend servers.
+        log_handler: Handler of the log, whose dropped lines are measured.
     """
 
     def __init__(
         self,
-        look_up: lookups.Lookups,
+        lookup_handler: lookups.Lookups,
         status: entry_status.Status,
         config: configuration.Configuration,
-        spread: gossip.Gossip,
-        forward: proxy.Proxy,
+        gossip_service: gossip.Gossip,
+        data_path: proxy.Proxy,
         placement: attempt_dependencies.Placement,
         meter: metrics.Metrics,
-        announcers: access.Guard,
-        output: log_output.BoundedHandler,
+        announcement_guard: access.Guard,
+        log_handler: log_output.BoundedHandler,
     ) -> None:
-        self._output = output
-        self._announcers = announcers
+        self._log_handler = log_handler
+        self._announcement_guard = announcement_guard
         self._pages: dict[str, Callable[[http.Scope], http.Answer]] = {
-            "/hyssop/v1/lookup": look_up.answer,
+            "/hyssop/v1/lookup": lookup_handler.answer,
             "/hyssop/v1/status": lambda _: status.answer(),
             "/hyssop/v1/healthz": lambda _: http.json_answer({"status": "ok"}),
-            "/hyssop/v1/readyz": lambda _: self._ready(),
-            "/metrics": lambda _: self._measured(),
+            "/hyssop/v1/readyz": lambda _: self._readiness(),
+            "/metrics": lambda _: self._render_metrics(),
         }
         self._config = config
-        self._spread = spread
-        self._proxy = forward
+        self._gossip = gossip_service
+        self._data_path = data_path
         self._placement = placement
         self._meter = meter
 
     async def __call__(
         self, scope: http.Scope, receive: http.Receive, send: http.Send
     ) -> None:
-        """Answer one request."""
+        """Serve one request; an ASGI application."""
         if scope["type"] == "lifespan":
             await http.accept_lifespan(receive, send)
             return
         if scope["type"] != "http":
             return
         path = scope["path"]
-        if not path.startswith(_OURS) and path != "/metrics":
-            await self._proxy.serve(scope, receive, send)
+        if not path.startswith(_API_PREFIX) and path != "/metrics":
+            await self._data_path.serve(scope, receive, send)
             return
         answer = await self._answer(scope, receive)
         await http.send_answer(send, answer, scope["method"] == "HEAD")
@@ -85,7 +88,7 @@
         method, path = scope["method"], scope["path"]
         if method == "PUT" and path.startswith(announcements.PATH):
             return await announcements.answer(
-                self._spread, scope, receive, self._announcers
+                self._gossip, scope, receive, self._announcement_guard
             )
         if method == "GET" and path in self._pages:
             return self._pages[path](scope)
@@ -93,40 +96,49 @@
             {"error": "not-found", "remedy": "see docs/operators"}, 404
         )
 
-    def _ready(self) -> http.Answer:
-        age = self._config.age_s(trio.current_time())
+    def _readiness(self) -> http.Answer:
+        age_s = self._config.age_s(trio.current_time())
         revision = self._config.snapshot.revision
         body = {
             "revision": revision,
-            "age_s": None if math.isinf(age) else round(age, 3),
-            "state": self._spread.myself.state,
+            "age_s": None if math.isinf(age_s) else round(age_s, 3),
+            "state": self._gossip.myself.state,
         }
-        ready = revision > 0 and self._spread.myself.state == "ready"
-        return http.json_answer(body, 200 if ready else 503)
+        is_ready = revision > 0 and self._gossip.myself.state == "ready"
+        return http.json_answer(body, 200 if is_ready else 503)
 
-    def _measured(self) -> http.Answer:
-        self._measure()
+    def _render_metrics(self) -> http.Answer:
+        self._update_metrics()
         return self._meter.render()
 
-    def _measure(self) -> None:
+    def _update_metrics(self) -> None:
         now = trio.current_time()
-        meter, held = self._meter, self._spread.directory
+        meter, directory = self._meter, self._gossip.directory
         meter.revision.set({}, self._config.snapshot.revision)
         meter.revision_age.set({}, self._config.age_s(now))
-        left_out = self._output.left_out + self._proxy.log_lines_left_out
+        left_out = (
+            self._log_handler.left_out + self._data_path.log_lines_left_out
+        )
         meter.log_lines_left_out.set({}, left_out)
-        meter.set_gossip(self._spread.sent_bytes)
+        meter.set_gossip(self._gossip.sent_bytes)
         in_flight = self._placement.in_flight()
         for pool in self._config.snapshot.tables.pools:
-            ready = held.ready_servers(pool.name)
+            ready_servers = directory.ready_servers(pool.name)
             labels = {"pool": pool.name}
-            meter.slots.set(labels, sum(server.slots for server in ready))
-            cold = sum(held.is_cold(one.server_id, now) for one in ready)
-            meter.cold_servers.set(labels, cold)
-            busy = sum(in_flight.get(s.server_id, 0) for s in ready)
-            meter.in_flight.set(labels, busy)
-            left = self._proxy.retry_budget(pool.name).left
-            meter.retries_left.set(labels, left)
-        for server in held.servers.words():
-            age = held.servers.age_s(server.server_id, now)
-            meter.lease_age.set({"member": server.server_id}, age)
+            meter.slots.set(
+                labels, sum(server.slots for server in ready_servers)
+            )
+            cold_servers = sum(
+                directory.is_cold(server.server_id, now)
+                for server in ready_servers
+            )
+            meter.cold_servers.set(labels, cold_servers)
+            in_flight_requests = sum(
+                in_flight.get(server.server_id, 0) for server in ready_servers
+            )
+            meter.in_flight.set(labels, in_flight_requests)
+            retries_left = self._data_path.retry_budget(pool.name).left
+            meter.retries_left.set(labels, retries_left)
+        for server in directory.servers.words():
+            age_s = directory.servers.age_s(server.server_id, now)
+            meter.lease_age.set({"member": server.server_id}, age_s)
