--- a/hyssopfold/entry/app.py
+++ b/hyssopfold/entry/app.py
@@ -129,12 +129,12 @@
                 labels, sum(server.slots for server in ready_servers)
             )
             cold_servers = sum(
-                directory.is_cold(server.server_id, now)
-                for server in ready_servers
+                directory.is_cold(ready_server.server_id, now)
+                for ready_server in ready_servers
             )
             meter.cold_servers.set(labels, cold_servers)
             in_flight_requests = sum(
-                in_flight.get(server.server_id, 0) for server in ready_servers
+                in_flight.get(backend.server_id, 0) for backend in ready_servers
             )
             meter.in_flight.set(labels, in_flight_requests)
             retries_left = self._data_path.retry_budget(pool.name).left
--- a/hyssopfold/entry/attempt_dependencies.py
+++ b/hyssopfold/entry/attempt_dependencies.py
@@ -61,7 +61,7 @@
 
     Attributes:
         region: Region of the entry.
-        directory: Directory of the servers.
+        server_directory: Directory of the servers.
         steering: Chooses the regions for a request.
         placement: Chooses servers and counts their slots.
         pacer: Shares the capacity of the links between regions.
@@ -75,7 +75,7 @@
     """
 
     region: str
-    directory: directory.Directory
+    server_directory: directory.Directory
     steering: steering.Steering
     placement: Placement
     pacer: pacing.Pacer
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -194,7 +194,7 @@
         """
         if not tried:
             return [()]
-        ready_servers = self._dependencies.directory.ready_servers(
+        ready_servers = self._dependencies.server_directory.ready_servers(
             self._pool.name
         )
         tried_domains = {
@@ -393,7 +393,7 @@
     def _log_grant(self, grant: messages.Grant, effect: events.Acquire) -> None:
         now = trio.current_time()
         server = grant.server
-        lease_s = self._dependencies.directory.servers.left_s(
+        lease_s = self._dependencies.server_directory.servers.left_s(
             server.server_id, now
         )
         budget_left = self._dependencies.retry_budget(self._pool.name).left
--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -37,13 +37,13 @@
     """The entry's region and its directory of servers and instances."""
 
     region: str
-    directory: directory.Directory
+    server_directory: directory.Directory
 
 
 class RequestGuards(NamedTuple):
     """Checks that may keep a request from running at any server."""
 
-    claims: claims.Claims
+    key_claims: claims.Claims
     quarantine: attempt_dependencies.Quarantine
 
 
@@ -105,7 +105,7 @@
         self.in_flight = 0
         self._dependencies = attempt_dependencies.AttemptDependencies(
             context.region,
-            context.directory,
+            context.server_directory,
             region_steering,
             placement,
             pacer,
@@ -122,7 +122,7 @@
         self._config = config
         self._meter = meter
         self._rng = rng
-        self._claims = guards.claims
+        self._claims = guards.key_claims
 
     @property
     def log_lines_left_out(self) -> int:
@@ -151,7 +151,7 @@
         if not shared_reserve:
             return budget.DEFAULT_RESERVE
         return shared_reserve / max(
-            1, len(self._dependencies.directory.ready_entries())
+            1, len(self._dependencies.server_directory.ready_entries())
         )
 
     async def serve(
