--- a/tests/entry/behind.feature
+++ b/tests/entry/behind.feature
@@ -1,16 +1,17 @@
-Feature: requests behind others, through an entry to its servers
-  Three pages asked for at once on one connection took three times as long as
-  one, though servers were free. A payment behind them must still go alone.
+Feature: pipelined requests through an entry to its servers
+  Guards against serving pipelined requests one after another, so that three
+  GETs take three times as long as one though servers are free, and against
+  running a request that may not be repeated concurrently with them.
 
-  Scenario: pages go to servers side by side, a payment after them
+  Scenario: pipelined GETs run concurrently, a POST after them
     Given the data path over servers that take 0.3 s
-    When three pages and a payment are sent at once on one connection
-    Then four answers come in order within 0.8 s
-    And the payment reached a server once all pages were answered
-    And the log tells how many requests each stood behind
+    When three GETs and a POST are pipelined on one connection
+    Then four answers arrive in order within 0.8 s
+    And the POST was sent to a server after all GETs were answered
+    And the log has the number of requests ahead of each
 
-  Scenario Outline: <what> does not run beside others
-    Then the data path lets <what> run beside others: no
+  Scenario Outline: <what> does not run concurrently with others
+    Then the data path lets <what> run concurrently with others: no
 
     Examples:
       | what                    |
@@ -18,5 +19,5 @@
       | a GET with a body       |
       | a GET with no host      |
 
-  Scenario: a page runs beside others
-    Then the data path lets a GET run beside others: yes
+  Scenario: a GET runs concurrently with others
+    Then the data path lets a GET run concurrently with others: yes
--- a/tests/entry/dialect.feature
+++ b/tests/entry/dialect.feature
@@ -1,11 +1,10 @@
-Feature: headers in other words
-  Where callers and servers use words of their own, an answer that no server
-  signed, or that bears no id, must not pass for this request's; and a cookie
-  that holds the object must be found among others.
+Feature: headers of another dialect
+  Guards against relaying an answer that no server signed, or that does not
+  have the request's id, and against missing the object cookie among others.
 
   Scenario Outline: the object that a request concerns
     When a request's cookies are "<cookies>"
-    Then its object is "<object>" where the cookie is called "book"
+    Then its object is "<object>" if the object cookie is "book"
 
     Examples:
       | cookies              | object |
@@ -14,9 +13,9 @@
       | xbook=17             |        |
       | a=book=3             |        |
 
-  Scenario Outline: the load that an answer tells
-    When an answer tells the load "<text>"
-    Then the load is read as <read>
+  Scenario Outline: the load that an answer reports
+    When an answer reports the load "<text>"
+    Then the parsed load is <read>
 
     Examples:
       | text                | read  |
@@ -26,14 +25,14 @@
       | -1,2,3              | none  |
       | a,b,c               | none  |
 
-  Scenario Outline: which answers count, signed and with the request's id
-    When an answer of status <status> bears "<headers>"
-    Then it is signed <signed>, not run <not_run>, misdirected <elsewhere>
+  Scenario Outline: answers with and without signature and request id
+    When an answer of status <status> has the headers "<headers>"
+    Then it is signed <signed>, not run <not_run>, misdirected <misdirected>
 
     Examples:
-      | status | headers                        | signed | not_run | elsewhere |
-      | 200    | request-id,signature           | True   | False   | False     |
-      | 200    | request-id                     | False  | False   | False     |
-      | 200    | signature                      | False  | False   | False     |
-      | 503    | refused                        | False  | True    | False     |
-      | 421    |                                | False  | False   | True      |
+      | status | headers              | signed | not_run | misdirected |
+      | 200    | request-id,signature | True   | False   | False       |
+      | 200    | request-id           | False  | False   | False       |
+      | 200    | signature            | False  | False   | False       |
+      | 503    | refused              | False  | True    | False       |
+      | 421    |                      | False  | False   | True        |
--- a/tests/steps/entry/behind_steps.py
+++ b/tests/steps/entry/behind_steps.py
@@ -1,4 +1,4 @@
-"""Steps of behind.feature."""
+"""Steps of entry/behind.feature."""
 
 import logging
 
@@ -21,17 +21,17 @@
 }
 
 
-class _Ends(logging.Handler):
-    """Keep the lines at which requests end."""
+class _EndedEvents(logging.Handler):
+    """Collects the `ended` events of requests."""
 
     def __init__(self):
         super().__init__()
-        self.ends = []
+        self.events = []
 
     def emit(self, record):
         event = record.msg
         if getattr(event, "event", "") == "ended":
-            self.ends.append(dict(event))
+            self.events.append(dict(event))
 
 
 @given("the data path over servers that take {seconds:g} s")
@@ -39,12 +39,12 @@
     context.behind_service_s = seconds
 
 
-@when("three pages and a payment are sent at once on one connection")
+@when("three GETs and a POST are pipelined on one connection")
 def _(context):
     log = logging.getLogger("hyssopfold.entry.proxy")
-    seen = _Ends()
-    log.addHandler(seen)
-    context.add_cleanup(log.removeHandler, seen)
+    handler = _EndedEvents()
+    log.addHandler(handler)
+    context.add_cleanup(log.removeHandler, handler)
 
     async def main():
         path = datapath.DataPath(3, service_s=context.behind_service_s)
@@ -53,45 +53,45 @@
         async with path.running():
             stream = await path.connect()
             reader = pipelines.AnswerReader(stream)
-            pages = b"".join(
+            gets = b"".join(
                 pipelines.request_without_body(f"/{n}") for n in range(3)
             )
             began = trio.current_time()
             await stream.send_all(
-                pages + pipelines.request_with_body("/pay", b"one")
+                gets + pipelines.request_with_body("/pay", b"one")
             )
             context.behind_answers = [await reader.next() for _ in range(4)]
             context.behind_took_s = trio.current_time() - began
             context.behind_runs = path.runs
 
     trio.run(main)
-    context.behind_ends = seen.ends
+    context.behind_events = handler.events
 
 
-@then("four answers come in order within {seconds:g} s")
+@then("four answers arrive in order within {seconds:g} s")
 def _(context, seconds):
-    statuses = [one.status for one in context.behind_answers]
+    statuses = [answer.status for answer in context.behind_answers]
     assert statuses == [200] * 4, context.behind_answers
     assert context.behind_runs == 4, context.behind_runs
     assert context.behind_took_s < seconds, context.behind_took_s
 
 
-@then("the payment reached a server once all pages were answered")
+@then("the POST was sent to a server after all GETs were answered")
 def _(context):
-    # It ran as long as a page, after them: twice the time of one.
+    # The POST takes as long as a GET and starts after them: twice the time.
     assert context.behind_took_s > 2 * context.behind_service_s * 0.8
 
 
-@then("the log tells how many requests each stood behind")
+@then("the log has the number of requests ahead of each")
 def _(context):
-    ahead = sorted(one["ahead"] for one in context.behind_ends)
-    assert ahead == [0, 1, 2, 3], context.behind_ends
-    payment = max(context.behind_ends, key=lambda one: one["ahead"])
-    least = context.behind_service_s * 0.5
-    assert payment["behind_s"] > least, payment
+    ahead = sorted(event["ahead"] for event in context.behind_events)
+    assert ahead == [0, 1, 2, 3], context.behind_events
+    post = max(context.behind_events, key=lambda event: event["ahead"])
+    min_behind_s = context.behind_service_s * 0.5
+    assert post["behind_s"] > min_behind_s, post
 
 
-@then("the data path lets {what} run beside others: {answer}")
+@then("the data path lets {what} run concurrently with others: {answer}")
 def _(context, what, answer):
     method, headers = _SCOPES[what]
     scope = {"method": method, "path": "/x", "headers": headers}
--- a/tests/steps/entry/connections_steps.py
+++ b/tests/steps/entry/connections_steps.py
@@ -28,10 +28,10 @@
     return listener.getsockname()[1]
 
 
-@given("a server that takes no more connections")
+@given("a server that accepts no more connections")
 def _(context):
     port = _listen(context, 0)
-    # The queue of connections that nobody accepts is filled.
+    # Fills the queue of unaccepted connections.
     for _ in range(4):
         sock = socket.socket()
         context.add_cleanup(sock.close)
@@ -41,7 +41,7 @@
     context.conn_server = _server(port)
 
 
-@when("a connection to it is asked for with a limit of {limit:g} s")
+@when("a connection to it is requested with a limit of {limit:g} s")
 def _(context, limit):
     pool = connections.ConnectionPool(lambda _: 10, connect_timeout_s=limit)
 
@@ -57,30 +57,30 @@
     context.conn_took_s = time.monotonic() - began
 
 
-@then("it is given up within {most:g} s and nothing was sent")
-def _(context, most):
+@then("the attempt fails within {limit:g} s and nothing was sent")
+def _(context, limit):
     assert context.conn_error is not None
-    assert context.conn_took_s < most, context.conn_took_s
+    assert context.conn_took_s < limit, context.conn_took_s
 
 
-@given("a server and a pool that trusts a connection for {trust:g} s")
-def _(context, trust):
+@given(
+    "a server and a pool that counts a connection as proved for {proven_s:g} s"
+)
+def _(context, proven_s):
     context.conn_server = _server(_listen(context, 8))
-    context.conn_trust_s = trust
+    context.conn_proven_s = proven_s
 
 
-@when(
-    "a connection brings an answer and a fresh one is asked for {later:g} s later"
-)
-def _(context, later):
-    pool = connections.ConnectionPool(lambda _: 10, context.conn_trust_s)
+@when("a connection is released and a fresh one requested {delay_s:g} s later")
+def _(context, delay_s):
+    pool = connections.ConnectionPool(lambda _: 10, context.conn_proven_s)
 
     async def acquire_twice():
         first = await pool.acquire(context.conn_server, fresh=True)
-        # As after a whole answer: idle, nothing left on it.
+        # As after a complete answer: idle and without unread bytes.
         first.is_clean = lambda: True
         await pool.release(first)
-        await trio.sleep(later)
+        await trio.sleep(delay_s)
         second = await pool.acquire(context.conn_server, fresh=True)
         await pool.discard(second)
         return first is second
@@ -88,11 +88,11 @@
     context.conn_same = trio.run(acquire_twice)
 
 
-@then("it is the same connection")
+@then("the pool returns the same connection")
 def _(context):
     assert context.conn_same
 
 
-@then("it is another connection")
+@then("the pool returns another connection")
 def _(context):
     assert not context.conn_same
--- a/tests/steps/entry/crashing_requests_steps.py
+++ b/tests/steps/entry/crashing_requests_steps.py
@@ -11,17 +11,17 @@
 
 
 @given(
-    "{count:d} running entries over {servers:d} servers that are back a second"
+    "{count:d} running entries over {servers:d} servers that restart a second"
     " after a crash"
 )
 def _(context, count, servers):
     context.sizes = (count, servers)
     context.script = []
-    context.notes = {}
+    context.results = {}
 
 
-def _play(context):
-    """Carry out what the scenario has listed, once."""
+def _run_script(context):
+    """Run the steps that the scenario has listed, once."""
     if context.script:
         trio.run(_run, context)
         context.script = []
@@ -32,19 +32,19 @@
     async with entries.running():
         for step in context.script:
             await step(entries)
-        context.notes["crashed"] = list(entries.crashed_at)
+        context.results["crashed"] = list(entries.crashed_at)
 
 
 @when(
-    "a crashing {method} is sent to {where} until {crashes:d} servers have"
+    "a crashing {method} is sent to {entries_text} until {crashes:d} servers have"
     " crashed"
 )
-def _(context, method, where, crashes):
+def _(context, method, entries_text, crashes):
     context.method = method
 
     async def step(entries):
         names = list(entries.entries)
-        if where == "one entry":
+        if entries_text == "one entry":
             names = names[:1]
         for name in itertools.cycle(names):
             if len(entries.crashed_at) >= crashes:
@@ -54,41 +54,43 @@
     context.script.append(step)
 
 
-@when("it is sent to each entry {times:d} times more, {seconds:g} s later")
+@when("it is sent to each entry {times:d} more times, {seconds:g} s later")
 def _(context, times, seconds):
     async def step(entries):
         await trio.sleep(seconds)
-        context.notes["third"] = len(entries.crashed_at)
-        context.notes["answers"] = [
+        context.results["crashes_before"] = len(entries.crashed_at)
+        context.results["answers"] = [
             await entries.ask(name, context.method, "crash")
             for name in list(entries.entries) * times
         ]
-        context.notes["sound"] = [
+        context.results["sound"] = [
             await entries.ask(name, context.method) for name in entries.entries
         ]
 
     context.script.append(step)
 
 
-@then("it has crashed at most {most:d} servers more")
-def _(context, most):
-    _play(context)
-    more = len(context.notes["crashed"]) - context.notes["third"]
-    assert more <= most, f"{more} servers more"
+@then("it has crashed at most {limit:d} more servers")
+def _(context, limit):
+    _run_script(context)
+    additional = (
+        len(context.results["crashed"]) - context.results["crashes_before"]
+    )
+    assert additional <= limit, f"{additional} more servers"
 
 
-@then("each entry refuses it as not run and says when to come back")
+@then("each entry refuses it as not run, with a retry-after")
 def _(context):
-    last = context.notes["answers"][-context.sizes[0] :]
-    for answer in last:
+    last_answers = context.results["answers"][-context.sizes[0] :]
+    for answer in last_answers:
         headers = dict(answer.headers)
         assert answer.status == 503, answer
         assert headers[b"hyssop-outcome"] == b"not-run", headers
         assert int(headers[b"retry-after"]) >= 1, headers
 
 
-@then("each entry serves a sound {method}")
+@then("each entry serves a harmless {method}")
 def _(context, method):
-    assert [one.status for one in context.notes["sound"]] == [
+    assert [answer.status for answer in context.results["sound"]] == [
         200
     ] * context.sizes[0]
--- a/tests/steps/entry/dialect_steps.py
+++ b/tests/steps/entry/dialect_steps.py
@@ -8,7 +8,7 @@
 from hyssopfold.entry import answers
 from hyssopfold.entry import dialect
 
-_THEIRS = dialect.Dialect(
+_DIALECT = dialect.Dialect(
     request_id=b"request-id",
     load=b"load",
     signature_header=b"signature",
@@ -21,7 +21,7 @@
 
 
 class _Exchange:
-    dialect = _THEIRS
+    dialect = _DIALECT
     method = "GET"
     request_id = "r1"
 
@@ -29,25 +29,25 @@
 @when('a request\'s cookies are "{cookies}"')
 def _(context, cookies):
     headers = [(b"accept", b"book=9"), (b"cookie", cookies.encode())]
-    context.object = _THEIRS.parse_object_key(headers)
+    context.object = _DIALECT.parse_object_key(headers)
 
 
-@then('its object is "{expected}" where the cookie is called "book"')
+@then('its object is "{expected}" if the object cookie is "book"')
 def _(context, expected):
     assert context.object == expected, context.object
 
 
-@then('its object is "" where the cookie is called "book"')
+@then('its object is "" if the object cookie is "book"')
 def _(context):
     assert context.object == "", context.object
 
 
-@when('an answer tells the load "{text}"')
+@when('an answer reports the load "{text}"')
 def _(context, text):
-    context.load = _THEIRS.parse_load({b"load": text.encode()})
+    context.load = _DIALECT.parse_load({b"load": text.encode()})
 
 
-@then("the load is read as {read}")
+@then("the parsed load is {read}")
 def _(context, read):
     expected = None
     if read != "none":
@@ -55,28 +55,30 @@
     assert context.load == expected, context.load
 
 
-@when('an answer of status {status:d} bears "{names}"')
+@when('an answer of status {status:d} has the headers "{names}"')
 def _(context, status, names):
-    _began(context, status, names.split(","))
+    _read_answer(context, status, names.split(","))
 
 
-@when('an answer of status {status:d} bears ""')
+@when('an answer of status {status:d} has the headers ""')
 def _(context, status):
-    _began(context, status, [])
+    _read_answer(context, status, [])
 
 
-def _began(context, status, names):
+def _read_answer(context, status, names):
     headers = [(name.encode(), b"r1") for name in names]
     headers.append((b"content-length", b"0"))
     answer = httpcore.Response(status, headers=headers)
-    context.began = answers.answer_began(_Exchange(), answer)
-
-
-@then("it is signed {signed}, not run {not_run}, misdirected {elsewhere}")
-def _(context, signed, not_run, elsewhere):
-    began = context.began
-    found = (began.is_signed, began.not_run, began.misdirected)
-    assert [str(one) for one in found] == [signed, not_run, elsewhere], began
-    if began.not_run:
-        # A refusal without an id is the waiting request's.
-        assert began.echoed == "r1"
+    context.event = answers.answer_began(_Exchange(), answer)
+
+
+@then("it is signed {signed}, not run {not_run}, misdirected {misdirected}")
+def _(context, signed, not_run, misdirected):
+    event = context.event
+    actual = (event.is_signed, event.not_run, event.misdirected)
+    assert [str(value) for value in actual] == [signed, not_run, misdirected], (
+        event
+    )
+    if event.not_run:
+        # A refusal without an id belongs to the waiting request.
+        assert event.echoed == "r1"
--- a/tests/steps/entry/mixed_steps.py
+++ b/tests/steps/entry/mixed_steps.py
@@ -13,8 +13,8 @@
 
 SEED = int(os.environ.get("HYSSOP_SOAK_SEED", "5"))
 FACTOR = int(os.environ.get("HYSSOP_SOAK_FACTOR", "1"))
-# Those that end only with the deadline would take the run's whole time.
-_SLOW = ("silent", "hold", "late", "early")
+# Requests with these faults end at their deadline and would slow the run.
+_SLOW_FAULTS = ("silent", "hold", "late", "early")
 
 
 @given(
@@ -22,7 +22,9 @@
 )
 def _(context, entries, servers, n):
     faults = tuple(
-        (name, 1 / n) for name in sorted(wire.FAULTS) if name not in _SLOW
+        (name, 1 / n)
+        for name in sorted(wire.FAULTS)
+        if name not in _SLOW_FAULTS
     )
     context.mixed = mixed.Mixed(
         entries, servers, SEED, faults=faults, service_s=0.002
@@ -36,7 +38,7 @@
     )
 
 
-@when("{count:d} mixed requests are sent by callers that resend")
+@when("{count:d} mixed requests are sent by callers that retry")
 def _(context, count):
     context.sent = count * FACTOR
     trio.run(context.mixed.run, context.sent)
@@ -44,25 +46,25 @@
 
 @when("{count:d} mixed requests are sent while two entries and a server stop")
 def _(context, count):
-    scene = context.mixed
+    fixture = context.mixed
 
-    async def disturb(nursery):
+    async def stop_some(nursery):
         await trio.sleep(0.2)
-        nursery.start_soon(scene.stop_entry, scene.paths[0])
+        nursery.start_soon(fixture.stop_entry, fixture.paths[0])
         await trio.sleep(0.2)
-        scene.leave_server(0)
-        nursery.start_soon(scene.stop_entry, scene.paths[1])
+        fixture.leave_server(0)
+        nursery.start_soon(fixture.stop_entry, fixture.paths[1])
 
     context.sent = count * FACTOR
-    trio.run(scene.run, context.sent, disturb)
+    trio.run(fixture.run, context.sent, stop_some)
 
 
-@then("the ledgers agree with the callers' books")
+@then("the servers' ledgers agree with the callers' records")
 def _(context):
-    scene = context.mixed
-    told = scene.books.told
-    assert len(told) == context.sent, len(told)
-    faults = scene.books.faults(scene.ran(), scene.posts())
+    fixture = context.mixed
+    outcomes = fixture.books.told
+    assert len(outcomes) == context.sent, len(outcomes)
+    faults = fixture.books.faults(fixture.ran(), fixture.posts())
     assert not faults, faults[:5]
 
 
@@ -70,7 +72,7 @@
 def _(context):
     books = context.mixed.books
     answered = standin_caller.Told.ANSWERED
-    others = [one for one in books.told.values() if one is not answered]
+    others = [told for told in books.told.values() if told is not answered]
     assert not others, others[:5]
     assert not books.cut, books.cut
-    assert [one.cut_requests for one in context.mixed.stops] == [0, 0]
+    assert [stop.cut_requests for stop in context.mixed.stops] == [0, 0]
