--- a/tests/entry/proxy.feature
+++ b/tests/entry/proxy.feature
@@ -1,17 +1,17 @@
-Feature: a request through an entry over servers that fail
-  A student pays and the server dies, answers with another client's payment,
-  or breaks off midway. She must never see another's answer, nor a part of
-  one as the whole, nor be told `not run` of what may have run; and the
-  payment must not be taken twice.
+Feature: a request through an entry to servers that fail
+  Servers crash, cut answers, or send the answer to another request. Guards
+  against relaying such an answer as complete or as the request's own, against
+  the outcome `not-run` for a request that may have run, and against running a
+  request twice that may not be repeated.
 
-  Scenario Outline: <method> meets <fault> at the first of two servers
+  Scenario Outline: <method> with the fault <fault> at the first of two servers
     Given the data path over 2 stand-ins
     When the data path gets <method> with the fault "<fault>@s1"
     Then the data path answers <status> with outcome "<outcome>"
     And the data path ran it <runs> times
-    And the data path holds no slot
+    And no slot of the data path is in use
 
-    Examples: what may not be repeated
+    Examples: requests that may not be repeated
       | method | fault         | status | outcome | runs |
       | POST   | shed          | 200    |         | 1    |
       | POST   | shed-bare     | 503    |         | 0    |
@@ -31,7 +31,7 @@
       | POST   | wrong-503     | 503    |         | 1    |
       | POST   | close-after   | 200    |         | 1    |
 
-    Examples: what may be repeated
+    Examples: requests that may be repeated
       | method | fault         | status | outcome | runs |
       | GET    | shed          | 200    |         | 1    |
       | GET    | shed-other    | 200    |         | 1    |
@@ -45,22 +45,22 @@
       | GET    | unasked-101   | 200    |         | 2    |
       | GET    | silent        | 200    |         | 2    |
 
-  Scenario Outline: a path that no route matches while <known>
+  Scenario Outline: a path that no route matches if <condition>
     Given the data path over 1 stand-ins
-    And the data path's entry <knows> a newer revision
-    When the data path gets GET of a path without a route
+    And the data path's entry <fetching> a newer revision
+    When the data path gets GET of a path that no route matches
     Then the data path answers <status> with outcome "not-run"
     And the data path ran it 0 times
 
     Examples:
-      | known                              | knows        | status |
-      | the newest revision is in force    | knows no     | 404    |
-      | a newer one is still being fetched | has heard of | 503    |
+      | condition                         | fetching    | status |
+      | the newest revision is in force   | fetches no  | 404    |
+      | a newer revision is being fetched | is fetching | 503    |
 
-  Scenario Outline: an answer <fault> reaches the caller as cut
+  Scenario Outline: the caller recognises an answer <fault> as cut
     Given the data path over 1 stand-ins
     When the data path gets <method> with the fault "<fault>"
-    Then the data path's answer is cut
+    Then the answer of the data path is cut
 
     Examples:
       | method | fault       |
@@ -69,7 +69,7 @@
       | POST   | cut-long    |
       | POST   | cut-chunked |
 
-  Scenario: a cut answer to an HTTP/1.0 caller ends in a reset
+  Scenario: the connection of an HTTP/1.0 caller is reset after a cut answer
     Given the data path over 1 stand-ins
     When the data path gets raw bytes
       """
@@ -78,90 +78,90 @@
       standin-fault: cut-chunked
 
       """
-    Then the data path's connection ends by a reset
+    Then the connection of the caller is reset
 
-  Scenario: what may have run is not called not-run when no server is left
-    A manuscript is deleted; the only server dies after doing so. There is
-    no second server to ask, which is no proof that the first did nothing.
+  Scenario: a request that may have run is not `not-run` without a second server
+    The only server crashes after it ran the request. That no other server is
+    left for a retry does not prove that the request did not run.
     Given the data path over 1 stand-ins
     When the data path gets DELETE with the fault "die"
     Then the data path answers 502 with outcome "unknown"
     And the data path ran it 1 times
 
-  Scenario: bytes after an answer are never another request's answer
+  Scenario: bytes after an answer are not read as the next answer
     Given the data path over 1 stand-ins
     When the data path gets GET with the fault "stray"
     And the data path gets GET with the fault ""
     Then the data path answers 200 with outcome ""
-    And the data path's answer is not another's
+    And the answer is not that of another request
 
-  Scenario: a payment never goes on a connection that has rested
-    The server closes an unused connection in the moment in which the payment
-    is written on it. The payment is gone, and nobody knows whether it ran.
+  Scenario: a POST is not sent on an idle connection
+    A server may close an idle connection at the moment in which a request is
+    written to it. The request is lost, and whether it ran is unknown.
     Given the data path over 1 stand-ins
     When the data path gets GET with the fault ""
-    And the data path's server closes its connections unseen
+    And the server closes its connections without the entry noticing
     And the data path gets POST with the fault ""
     Then the data path answers 200 with outcome ""
 
-  Scenario: a caller that leaves takes its request along
+  Scenario: a disconnect of the caller cancels its request
     Given the data path over 1 stand-ins
-    When a caller of the data path leaves while its request runs
-    Then the data path's server saw the request cancelled
-    And the data path holds no slot
+    When a caller disconnects while its request runs
+    Then the request is cancelled at the server
+    And no slot of the data path is in use
 
-  Scenario: refused callers do not come back together
+  Scenario: refused callers do not retry at the same time
     Given the data path over 0 stand-ins
     When the data path gets 40 requests at once
-    Then the data path spreads their retry-after
+    Then their retry-after times differ
 
-  Scenario: a whole answer is counted as one
-    The metrics called every answered payment `unknown`, and so did the claim
-    on its key: the event that ends an answer has no fields, an empty tuple is
-    false, and it was dropped as no event.
+  Scenario: a complete answer is counted as answered
+    Metrics and claims had the outcome `unknown` for all answered requests: the
+    event of a complete answer has no fields, so it is an empty tuple, which is
+    falsy, and was dropped.
 
     Given the data path over 1 stand-ins
     When the data path gets POST with the fault ""
     Then the data path counts 1 request as "answered" and none as "unknown"
 
-  # Guards against sending on, or wrongly refusing, what crashed servers before.
-  Scenario Outline: a held-back body of <size> bytes <framing> comes again <how>
+  # Guards against forwarding a quarantined request, and refusing others.
+  Scenario Outline: a quarantined body of <size> bytes <framing>, repeated <how>
     Given the data path over 2 stand-ins
-    When the data path holds back a POST of <size> bytes, sent <framing>
-    And that POST comes again <how>
+    When the data path quarantines a POST of <size> bytes, sent <framing>
+    And that POST is repeated <how>
     Then the data path answers <status> with outcome "<outcome>"
     And the data path ran it <runs> times
 
     Examples:
       | size   | framing     | how                | status | outcome | runs |
-      | 0      | with length | as it was          | 503    | not-run | 0    |
-      | 100    | with length | as it was          | 503    | not-run | 0    |
-      | 100    | in chunks   | as it was          | 503    | not-run | 0    |
-      | 200000 | with length | as it was          | 503    | not-run | 0    |
-      | 200000 | in chunks   | as it was          | 503    | not-run | 0    |
+      | 0      | with length | unchanged          | 503    | not-run | 0    |
+      | 100    | with length | unchanged          | 503    | not-run | 0    |
+      | 100    | in chunks   | unchanged          | 503    | not-run | 0    |
+      | 200000 | with length | unchanged          | 503    | not-run | 0    |
+      | 200000 | in chunks   | unchanged          | 503    | not-run | 0    |
       | 100    | with length | in another framing | 503    | not-run | 0    |
       | 100    | with length | with another body  | 200    |         | 1    |
       | 200000 | in chunks   | with another body  | 200    |         | 1    |
 
-  # Guards against a retry of what was held back while it ran.
-  Scenario: a request that is held back as it runs is not sent again
+  # Guards against a retry of a request that was quarantined while it ran.
+  Scenario: a request that is quarantined as it runs is not retried
     Given the data path over 2 stand-ins
-    When a GET is held back as it crashes the first of two servers
+    When a GET is quarantined as it crashes the first of two servers
     Then the data path answers 502 with outcome "unknown"
     And the data path ran it 1 times
 
-  # Guards against a connection cut for a body that is found too long early.
-  Scenario: a held-back POST comes again with a body that is too long
+  # Guards against a cut connection if a body is recognised early as too long.
+  Scenario: a quarantined POST is repeated with a body that is too long
     Given the data path over 2 stand-ins that takes bodies of 1000 bytes
-    When the data path holds back a POST of 900 bytes, sent in chunks
-    And that POST comes again with 5000 bytes
+    When the data path quarantines a POST of 900 bytes, sent in chunks
+    And that POST is repeated with 5000 bytes
     Then the data path answers 413 with outcome "not-run"
     And the data path ran it 0 times
 
-  # Guards against a request that is held back while it waits for a slot.
-  Scenario: a request that is held back as it waits for a slot is not sent
+  # Guards against sending a request that was quarantined as it waited.
+  Scenario: a request that is quarantined as it waits for a slot is not sent
     Given the data path over 2 stand-ins
-    When a GET is held back as it waits for a slot
+    When a GET is quarantined as it waits for a slot
     Then the data path answers 503 with outcome "not-run"
     And the data path ran it 0 times
-    And the data path holds no slot
+    And no slot of the data path is in use
--- a/tests/steps/entry/proxy_steps.py
+++ b/tests/steps/entry/proxy_steps.py
@@ -26,14 +26,14 @@
     context.script = []
 
 
-def drive(context):
-    """Run the requests that the scenario has listed, once."""
+def run_script(context):
+    """Run the steps that the scenario has listed, once."""
     if context.script:
-        context.path = trio.run(_drive, context, context.script)
+        context.path = trio.run(_run_steps, context, context.script)
         context.script = []
 
 
-async def _drive(context, script):
+async def _run_steps(context, script):
     path = datapath.DataPath(
         context.count, max_body=getattr(context, "max_body", 1 << 40)
     )
@@ -56,16 +56,16 @@
     context.script.append(step)
 
 
-@given("the data path's entry {knows} a newer revision")
-def _(context, knows):
+@given("the data path's entry {fetching} a newer revision")
+def _(context, fetching):
     async def step(path):
-        path.config.is_behind = knows == "has heard of"
+        path.config.is_behind = fetching == "is fetching"
         path.config.keep_routes("upload")
 
     context.script.append(step)
 
 
-@when("the data path gets GET of a path without a route")
+@when("the data path gets GET of a path that no route matches")
 def _(context):
     async def step(path):
         return await path.ask("GET", "/added-just-now")
@@ -90,11 +90,11 @@
     context.script.append(step)
 
 
-@when("the data path's server closes its connections unseen")
+@when("the server closes its connections without the entry noticing")
 def _(context):
     async def step(path):
-        # What the entry can't see in time: the close is still on its way
-        # when the connection is looked at.
+        # As if the close arrives only after the entry has checked the
+        # connection.
         for idle in path.pool._idle.values():
             for conn in idle:
                 conn.is_clean = lambda: True
@@ -103,7 +103,7 @@
     context.script.append(step)
 
 
-@when("a caller of the data path leaves while its request runs")
+@when("a caller disconnects while its request runs")
 def _(context):
     async def step(path):
         stream = await path.connect()
@@ -126,107 +126,107 @@
 @when("the data path gets {count:d} requests at once")
 def _(context, count):
     async def step(path):
-        async def one():
+        async def send():
             context.answers.append(await path.ask("GET", "/x"))
 
         async with trio.open_nursery() as nursery:
             for _ in range(count):
-                nursery.start_soon(one)
+                nursery.start_soon(send)
 
     context.script.append(step)
 
 
-def _take_fingerprint(path):
-    """Return that of the one request so far; forget that it ran."""
+def _pop_fingerprint(path):
+    """Return the fingerprint of the only request, and clear the ledgers."""
     (fingerprint,) = path.quarantine.sound
-    for one in path.standins:
-        one.ledger.clear()
+    for standin in path.standins:
+        standin.ledger.clear()
     return fingerprint
 
 
-@when("the data path holds back a POST of {size:d} bytes, sent {framing}")
+@when("the data path quarantines a POST of {size:d} bytes, sent {framing}")
 def _(context, size, framing):
     context.posted = (size, framing)
 
     async def step(path):
-        await path.ask("POST", "/held", body=_body(*context.posted, b"a"))
-        path.quarantine.held.add(_take_fingerprint(path))
+        await path.ask("POST", "/held", body=_make_body(*context.posted, b"a"))
+        path.quarantine.held.add(_pop_fingerprint(path))
 
     context.script.append(step)
 
 
-def _body(size, framing, letter):
+def _make_body(size, framing, byte):
     if framing == "with length":
-        return letter * size
+        return byte * size
 
     async def parts():
         for _ in range(0, size, 1000):
-            yield letter * min(1000, size)
+            yield byte * min(1000, size)
 
     return parts()
 
 
-@when("that POST comes again with {size:d} bytes")
+@when("that POST is repeated with {size:d} bytes")
 def _(context, size):
     async def step(path):
-        body = _body(size, "in chunks", b"a")
+        body = _make_body(size, "in chunks", b"a")
         return await path.ask("POST", "/held", body=body)
 
     context.script.append(step)
 
 
-@when("that POST comes again {how}")
+@when("that POST is repeated {how}")
 def _(context, how):
-    letter = b"b" if how == "with another body" else b"a"
+    byte = b"b" if how == "with another body" else b"a"
     size, framing = context.posted
     if how == "in another framing":
         framing = "in chunks" if framing == "with length" else "with length"
 
     async def step(path):
-        body = _body(size, framing, letter)
+        body = _make_body(size, framing, byte)
         return await path.ask("POST", "/held", body=body)
 
     context.script.append(step)
 
 
-@when("a GET is held back as it crashes the first of two servers")
+@when("a GET is quarantined as it crashes the first of two servers")
 def _(context):
     async def step(path):
         await path.ask("GET", "/held")
-        fingerprint = _take_fingerprint(path)
+        fingerprint = _pop_fingerprint(path)
 
-        def hold(server):
+        def quarantine(server):
             if server.ledger:
                 path.quarantine.held.add(fingerprint)
 
-        for one in path.standins:
-            one.ledger = _Watched(one, hold)
+        for standin in path.standins:
+            standin.ledger = _ObservedLedger(standin, quarantine)
         return await path.ask("GET", "/held", "crash@s1")
 
     context.script.append(step)
 
 
-@when("a GET is held back as it waits for a slot")
+@when("a GET is quarantined as it waits for a slot")
 def _(context):
     async def step(path):
         await path.ask("GET", "/held")
-        fingerprint = _take_fingerprint(path)
+        fingerprint = _pop_fingerprint(path)
         path.placement.on_wait = lambda: path.quarantine.held.add(fingerprint)
         return await path.ask("GET", "/held")
 
     context.script.append(step)
 
 
-class _Watched(collections.Counter):
-    """A ledger that says when something runs."""
+class _ObservedLedger(collections.Counter):
+    """A ledger that calls `on_run` with its server on each run."""
 
     def __init__(self, server, on_run):
         super().__init__()
-        self._told = (server, on_run)
+        self._observer = (server, on_run)
 
     def __setitem__(self, key, value):
         super().__setitem__(key, value)
-        server, on_run = self._told
+        server, on_run = self._observer
         on_run(server)
 
 
@@ -240,19 +240,19 @@
 
 @then("the data path counts {count:d} crashed requests")
 def _(context, count):
-    drive(context)
+    run_script(context)
     text = context.path.meter.render().body.decode()
-    found = [
+    crash_counts = [
         float(line.split()[-1])
         for line in text.splitlines()
         if line.startswith("hyssop_crashed_requests_total")
     ]
-    assert sum(found) == count, text
+    assert sum(crash_counts) == count, text
 
 
 @then('the data path answers {status:d} with outcome "{outcome}"')
 def _(context, status, outcome):
-    drive(context)
+    run_script(context)
     answer = context.answers[-1]
     assert not answer.cut, answer
     assert answer.status == status, answer
@@ -264,7 +264,7 @@
 
 @then('the data path answers {status:d} with outcome ""')
 def _(context, status):
-    drive(context)
+    run_script(context)
     answer = context.answers[-1]
     assert answer.status == status, answer
     assert "hyssop-outcome" not in answer.headers, answer
@@ -275,52 +275,54 @@
     assert context.path.runs == runs, context.path.runs
 
 
-@then("the data path holds no slot")
+@then("no slot of the data path is in use")
 def _(context):
-    drive(context)
+    run_script(context)
     assert not context.path.placement.held, context.path.placement.held
 
 
-@then("the data path's answer is cut")
+@then("the answer of the data path is cut")
 def _(context):
-    drive(context)
+    run_script(context)
     assert context.answers[-1].cut, context.answers[-1]
 
 
-@then("the data path's connection ends by a reset")
+@then("the connection of the caller is reset")
 def _(context):
-    drive(context)
+    run_script(context)
     data, end = context.answers[-1]
     assert end == "reset", (data, end)
 
 
-@then("the data path's answer is not another's")
+@then("the answer is not that of another request")
 def _(context):
     assert b"another" not in context.answers[-1].body, context.answers
 
 
-@then("the data path's server saw the request cancelled")
+@then("the request is cancelled at the server")
 def _(context):
-    drive(context)
+    run_script(context)
     assert sum(context.path.standins[0].cancelled.values()) == 1
 
 
-@then("the data path spreads their retry-after")
+@then("their retry-after times differ")
 def _(context):
-    drive(context)
+    run_script(context)
     waits = {answer.headers["retry-after"] for answer in context.answers}
     assert len(waits) > 1, waits
 
 
-@then('the data path counts {count:d} request as "{one}" and none as "{other}"')
-def _(context, count, one, other):
-    drive(context)
+@then(
+    'the data path counts {count:d} request as "{outcome}" and none as "{other}"'
+)
+def _(context, count, outcome, other):
+    run_script(context)
     text = context.path.meter.render().body.decode()
     lines = [
         line
         for line in text.splitlines()
         if line.startswith("hyssop_request_seconds_count")
     ]
-    counted = [line for line in lines if f'outcome="{one}"' in line]
+    counted = [line for line in lines if f'outcome="{outcome}"' in line]
     assert [float(line.split()[-1]) for line in counted] == [count], lines
     assert not [line for line in lines if f'outcome="{other}"' in line], lines
