--- a/tests/steps/entry/claims_steps.py
+++ b/tests/steps/entry/claims_steps.py
@@ -83,7 +83,7 @@
         return held
 
     def take_out(self, name):
-        known = self.entries.known.instances
+        known = self.entries.directory.instances
         word = known.get(name)
         gone = word._replace(state="leaving", sequence=word.sequence + 1)
         known.update(name, gone, 0.0)
--- a/tests/steps/entry/leaving_steps.py
+++ b/tests/steps/entry/leaving_steps.py
@@ -180,7 +180,7 @@
 def _(context):
     assert context.steps.cut_requests == 0, context.steps.cut_requests
     assert not _cuts(context), context.lines.events
-    assert not context.path.placement.held
+    assert not context.path.placement.acquired
 
 
 @then("the stopped entry cut {count:d} request and said so")
--- a/tests/steps/entry/mixed_steps.py
+++ b/tests/steps/entry/mixed_steps.py
@@ -64,7 +64,7 @@
     fixture = context.mixed
     outcomes = fixture.books.told
     assert len(outcomes) == context.sent, len(outcomes)
-    faults = fixture.books.faults(fixture.ran(), fixture.posts())
+    faults = fixture.books.faults(fixture.run_counts(), fixture.once_keys())
     assert not faults, faults[:5]
 
 
--- a/tests/steps/entry/proxy_steps.py
+++ b/tests/steps/entry/proxy_steps.py
@@ -117,7 +117,7 @@
         await stream.aclose()
         while not server.cancelled:
             await trio.sleep(0.01)
-        while path.placement.held:
+        while path.placement.acquired:
             await trio.sleep(0.01)
 
     context.script.append(step)
@@ -138,7 +138,7 @@
 
 def _pop_fingerprint(path):
     """Return the fingerprint of the only request, and clear the ledgers."""
-    (fingerprint,) = path.quarantine.sound
+    (fingerprint,) = path.quarantine.answered_fingerprints
     for standin in path.standins:
         standin.ledger.clear()
     return fingerprint
@@ -150,7 +150,7 @@
 
     async def step(path):
         await path.ask("POST", "/held", body=_make_body(*context.posted, b"a"))
-        path.quarantine.held.add(_pop_fingerprint(path))
+        path.quarantine.quarantined.add(_pop_fingerprint(path))
 
     context.script.append(step)
 
@@ -197,7 +197,7 @@
 
         def quarantine(server):
             if server.ledger:
-                path.quarantine.held.add(fingerprint)
+                path.quarantine.quarantined.add(fingerprint)
 
         for standin in path.standins:
             standin.ledger = _ObservedLedger(standin, quarantine)
@@ -211,7 +211,9 @@
     async def step(path):
         await path.ask("GET", "/held")
         fingerprint = _pop_fingerprint(path)
-        path.placement.on_wait = lambda: path.quarantine.held.add(fingerprint)
+        path.placement.on_wait = lambda: path.quarantine.quarantined.add(
+            fingerprint
+        )
         return await path.ask("GET", "/held")
 
     context.script.append(step)
@@ -278,7 +280,7 @@
 @then("no slot of the data path is in use")
 def _(context):
     run_script(context)
-    assert not context.path.placement.held, context.path.placement.held
+    assert not context.path.placement.acquired, context.path.placement.acquired
 
 
 @then("the answer of the data path is cut")
--- a/tests/steps/serving/connection_steps.py
+++ b/tests/steps/serving/connection_steps.py
@@ -196,7 +196,7 @@
 def _(context):
     async def step(path):
         answer = await path.exchange(_POST + b"content-length: 9\r\n\r\nabc")
-        while path.placement.held:
+        while path.placement.acquired:
             await trio.sleep(0.01)
         return answer
 
@@ -205,8 +205,8 @@
 
 @then("the connection is closed and no slot is in use")
 def _(context):
-    assert not context.data_path.placement.held
-    assert context.data_path.placement.done == ["cancelled"]
+    assert not context.data_path.placement.acquired
+    assert context.data_path.placement.result_kinds == ["cancelled"]
 
 
 @when("one caller opens more connections than its limit")
@@ -279,7 +279,7 @@
         head = b"standin-answer-bytes: %d\r\n\r\n" % (size * _MB)
         await stream.send_all(_GET + head)
         await trio.sleep(0.1)
-        read_bytes = path.taken
+        read_bytes = path.answer_bytes_sent
         answer = await path.ask("GET", "/x")
         return read_bytes, answer
 
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -1,4 +1,7 @@
-"""An entry's data path on loopback, over stand-ins and a fake placement."""
+"""The data path of an entry on loopback, with stand-ins as servers.
+
+Placement, steering, pacing, quarantine and configuration are fakes.
+"""
 
 import contextlib
 import os
@@ -40,7 +43,10 @@
 
 
 class Answer(NamedTuple):
-    """What a caller saw; `cut` is how its answer ended early, if it did."""
+    """An answer as a caller got it.
+
+    `cut` is the error by which it ended early, empty for a complete one.
+    """
 
     status: int
     headers: dict[str, str]
@@ -49,35 +55,37 @@
 
 
 class FakeConfiguration:
-    """Tables that stay as they are."""
+    """A configuration with constant tables."""
 
     def __init__(self):
-        held = state.State(tables.parse(TABLES))
-        self.snapshot = configuration.Snapshot(1, held)
+        value = state.State(tables.parse(TABLES))
+        self.snapshot = configuration.Snapshot(1, value)
         self.is_behind = False
 
     def keep_routes(self, *names):
-        """Drop the routes that are not named."""
-        held = self.snapshot.tables
-        kept = tuple(one for one in held.routes if one.name in names)
+        """Remove all routes but the named ones."""
+        current_tables = self.snapshot.tables
+        routes = tuple(
+            route for route in current_tables.routes if route.name in names
+        )
         self.snapshot = configuration.Snapshot(
-            1, state.State(held._replace(routes=kept))
+            1, state.State(current_tables._replace(routes=routes))
         )
 
     def age_s(self, now):
-        """Return the age of a revision confirmed just now."""
+        """Return the age of a revision that was just confirmed."""
         return 0.0
 
 
 class FakePacer:
-    """Links with room for all."""
+    """A pacer of links with unlimited capacity."""
 
     async def take(self, region, size, bulk):
-        """Let all pass."""
+        """Return without waiting."""
 
 
 class FakeSteering:
-    """Everything is at home."""
+    """Steers all requests to one region."""
 
     def decide(self, route, request_id, client, pool=""):
         home = messages.Region("dar", False)
@@ -88,15 +96,15 @@
 
 
 class FakePlacement:
-    """Give the first server that is not to be avoided; count the slots."""
+    """Grants slots of the first server that is not to be avoided."""
 
     def __init__(self, servers):
         self.servers = servers
-        self.held = []
-        self.done = []
+        self.acquired = []
+        self.result_kinds = []
         self.rotate = False
-        self.left = set()
-        # Called as a request waits for a slot.
+        self.left_servers = set()
+        # Called while a request waits for a slot.
         self.on_wait = lambda: None
 
     async def acquire(self, req, pool):
@@ -104,60 +112,62 @@
         if self.rotate:
             self.servers.append(self.servers.pop(0))
         for server in self.servers:
-            if server.server_id not in (*req.avoid, *self.left):
-                self.held.append(server.server_id)
+            if server.server_id not in (*req.avoid, *self.left_servers):
+                self.acquired.append(server.server_id)
                 return messages.Grant(server, "test")
         return messages.Refused("no-free-slot", 1.0)
 
-    def release(self, grant, done):
-        self.held.remove(grant.server.server_id)
-        self.done.append(done.kind)
+    def release(self, grant, result):
+        self.acquired.remove(grant.server.server_id)
+        self.result_kinds.append(result.kind)
 
 
 class FakeQuarantine:
-    """Hold back what `held` names; note what was answered and what crashed."""
+    """Quarantines the fingerprints in `quarantined`, and records all calls."""
 
     def __init__(self):
-        self.held = set()
-        self.sound = []
-        self.counted = []
+        self.quarantined = set()
+        self.answered_fingerprints = []
+        self.crashes = []
 
     def knows(self, head):
-        return any(one.startswith(head) for one in self.held)
+        return any(
+            fingerprint.startswith(head) for fingerprint in self.quarantined
+        )
 
     def holds(self, fingerprint, attempt):
-        return fingerprint in self.held
+        return fingerprint in self.quarantined
 
     def answered(self, fingerprint):
-        self.sound.append(fingerprint)
+        self.answered_fingerprints.append(fingerprint)
 
     def crashed(self, server, fingerprint):
-        self.counted.append((server.server_id, fingerprint))
+        self.crashes.append((server.server_id, fingerprint))
 
 
 class FakeEntries:
-    """Entries that hold each other's claims; calls stay in this process.
+    """Entries that keep each other's claims, with calls within this process.
 
-    `down` are those that answer no call.
+    `down` has the names of those that answer no calls.
     """
 
     def __init__(self, names):
         self.down = set()
-        self.known = directory.Directory(lease_s=1e9)
+        self.directory = directory.Directory(lease_s=1e9)
         self.claims = {}
         for name in names:
             self.start(name, 1)
 
     def start(self, name, incarnation, state="ready"):
-        """Start an entry, with nothing in its memory."""
-        word = membership.Instance(
+        """Start an entry without any claims."""
+        record = membership.Instance(
             name, "entry", f"{name}-http", f"{name}-gossip", "dar", "dar-1",
             state, incarnation, 1, 1, 0.0, name,
         )  # fmt: skip
-        self.known.instances.update(name, word, 0.0)
+        self.directory.instances.update(name, record, 0.0)
         self.claims[name] = claims.Claims(
-            lambda: self.known.instances.get(name),
-            self.known,
+            lambda: self.directory.instances.get(name),
+            self.directory,
             self,
             core_claims.ClaimTable(),
         )
@@ -181,15 +191,15 @@
 
 
 def make_standins(count, **options):
-    """Return stand-ins with their announcements, each in a domain of its own.
+    """Return stand-ins with their records, each in its own failure domain.
 
     Args:
-        count: Number of them.
+        count: Number of stand-ins.
         options: Fields of their options to replace.
     """
-    made = []
+    pairs = []
     for index in range(1, count + 1):
-        chosen = standin_server.Options(
+        standin_options = standin_server.Options(
             server_id=f"s{index}",
             pool="shop",
             address=loopback.free_address(),
@@ -201,33 +211,33 @@
             announce_to=(),
             seed=index,
         )._replace(**options)
-        word = membership.Server(
-            chosen.server_id,
-            chosen.pool,
-            chosen.address,
-            chosen.region,
-            chosen.failure_domain,
-            chosen.slots,
-            chosen.connections,
+        record = membership.Server(
+            standin_options.server_id,
+            standin_options.pool,
+            standin_options.address,
+            standin_options.region,
+            standin_options.failure_domain,
+            standin_options.slots,
+            standin_options.connections,
             "ready",
             1,
             1,
             0.0,
         )
-        made.append((standin_server.Server(chosen), word))
-    return made
+        pairs.append((standin_server.Server(standin_options), record))
+    return pairs
 
 
 class DataPath:
-    """An entry and its stand-ins.
+    """An entry's data path and its stand-ins.
 
     Args:
         count: Number of stand-ins.
-        limits: What a caller may take.
-        pacer: Room on the links.
-        max_body: Largest body taken.
-        standins: Stand-ins run by someone else, in place of own ones.
-        entries: The entries that hold claims.
+        limits: Limits on callers.
+        pacer: Pacer of the links.
+        max_body: Largest accepted body in bytes.
+        standins: Running stand-ins to use instead of own ones.
+        entries: The entries that keep claims.
         name: Name of this entry among them.
         options: Fields of the stand-ins' options to replace.
     """
@@ -244,14 +254,14 @@
         **options,
     ):
         self.address = loopback.free_address()
-        made = standins or make_standins(count, **options)
-        self.standins = [standin for standin, _ in made]
-        self.owned = [] if standins else self.standins
-        known = directory.Directory(lease_s=1e9)
-        for _, word in made:
-            known.servers.update(word.server_id, word, 0.0)
+        pairs = standins or make_standins(count, **options)
+        self.standins = [standin for standin, _ in pairs]
+        self.own_standins = [] if standins else self.standins
+        server_directory = directory.Directory(lease_s=1e9)
+        for _, record in pairs:
+            server_directory.servers.update(record.server_id, record, 0.0)
         rng = random.Random(1)
-        self.placement = FakePlacement([word for _, word in made])
+        self.placement = FakePlacement([record for _, record in pairs])
         self.claims = (entries or FakeEntries([name])).claims[name]
         self.pool = connections.ConnectionPool(lambda server: 40)
         self.meter = metrics.Metrics("test")
@@ -268,7 +278,7 @@
             upstream.Upstream(self.pool, self.checks),
             self.meter,
             guards=proxy.RequestGuards(self.claims, self.quarantine),
-            context=proxy.EntryContext("dar", known),
+            context=proxy.EntryContext("dar", server_directory),
             rng=rng,
             options=proxy.CallerOptions(max_body_bytes=max_body),
         )
@@ -283,20 +293,22 @@
 
     @property
     def runs(self):
-        """Return how often requests ran, over all stand-ins."""
-        return sum(sum(one.ledger.values()) for one in self.standins)
+        """Return how many requests ran at all stand-ins."""
+        return sum(sum(standin.ledger.values()) for standin in self.standins)
 
     @property
-    def taken(self):
-        """Return the bytes of long answers that the entry has taken."""
-        return sum(conn.sent for one in self.standins for conn in one.open)
+    def answer_bytes_sent(self):
+        """Return the bytes of long answers that the stand-ins have sent."""
+        return sum(
+            conn.sent for standin in self.standins for conn in standin.open
+        )
 
     @contextlib.asynccontextmanager
     async def running(self):
-        """Run all of it."""
+        """Run the entry and its own stand-ins."""
         with trio.fail_after(WAIT_S):
             async with trio.open_nursery() as nursery:
-                for standin in self.owned:
+                for standin in self.own_standins:
                     nursery.start_soon(standin.serve, trio.Event())
                 nursery.start_soon(self.claims.run)
                 nursery.start_soon(self.checks.run)
@@ -322,7 +334,7 @@
         return await trio.open_tcp_stream(host, int(port))
 
     async def exchange(self, *parts):
-        """Send raw bytes; return all that comes back, and how it ended."""
+        """Send raw bytes; return the received bytes, and `end` or `reset`."""
         stream = await self.connect()
         with contextlib.suppress(trio.BrokenResourceError):
             for part in parts:
@@ -330,7 +342,7 @@
         return await read_all(stream)
 
     async def ask(self, method, path, fault="", body=None, headers=()):
-        """Send one request on a new connection; return its Answer."""
+        """Send a request on a new connection and return its Answer."""
         fields = [("host", "shop.example"), *headers]
         if fault:
             fields.append(("standin-fault", fault))
@@ -342,12 +354,12 @@
                     headers=fields,
                     content=body,
                 ) as answer:
-                    return await _take(answer)
+                    return await _read_answer(answer)
             except (httpcore.NetworkError, httpcore.ProtocolError) as exc:
                 return Answer(0, {}, b"", type(exc).__name__)
 
 
-async def _take(answer):
+async def _read_answer(answer):
     parts = []
     cut = ""
     try:
@@ -363,7 +375,7 @@
 
 
 async def read_all(stream):
-    """Return the bytes up to the connection's end, and `end` or `reset`."""
+    """Return the bytes up to the end of the connection, and `end` or `reset`."""
     data = b""
     try:
         while part := await stream.receive_some(65_536):
@@ -374,5 +386,5 @@
 
 
 def shrink_buffers(stream, size=8192):
-    """Make a connection hold little, so that back-pressure shows soon."""
+    """Shrink the receive buffer, so that back-pressure takes effect soon."""
     stream.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, size)
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -1,4 +1,4 @@
-"""A small system on loopback within one trio run."""
+"""A control instance, an entry and servers on loopback, in one trio run."""
 
 import contextlib
 import itertools
@@ -15,33 +15,34 @@
 WAIT_S = 20
 
 
-# Below the ports that the system gives to connections: one of these could be
-# taken between the choice of an address and its use. Processes that run beside
-# each other begin in blocks of their own.
+# Below the ephemeral ports of the operating system: one of those could be taken
+# between the choice of an address and its use. Concurrent processes start in
+# different blocks.
 _FIRST_PORT = 10_000
-_PORTS_EACH = 200
-_BLOCKS = 110
-_ports = itertools.cycle(range(_PORTS_EACH))
+_PORTS_PER_BLOCK = 200
+_PORT_BLOCKS = 110
+_ports = itertools.cycle(range(_PORTS_PER_BLOCK))
 
 
 def free_address(kind=socket.SOCK_STREAM):
-    """Return an address that nothing uses at this moment."""
-    first = _FIRST_PORT + os.getpid() % _BLOCKS * _PORTS_EACH
-    for step in itertools.islice(_ports, _PORTS_EACH):
-        address = ("127.0.0.1", first + step)
+    """Return an address that is currently unused."""
+    first_port = _FIRST_PORT + os.getpid() % _PORT_BLOCKS * _PORTS_PER_BLOCK
+    for offset in itertools.islice(_ports, _PORTS_PER_BLOCK):
+        address = ("127.0.0.1", first_port + offset)
         with socket.socket(type=kind) as sock:
-            # As listeners do: a closed connection holds its port for a minute.
+            # Set as for listeners: a closed connection occupies its port for a
+            # minute.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
                 sock.bind(address)
             except OSError:
                 continue
             return f"{address[0]}:{address[1]}"
-    raise RuntimeError(f"all ports from {first} on are in use")
+    raise RuntimeError(f"all ports from {first_port} on are in use")
 
 
 def write_settings(path, fields):
-    """Write a settings file and return its name."""
+    """Write a settings file and return its path."""
     lines = [f"{key}: {value}" for key, value in fields.items()]
     pathlib.Path(path).write_text("\n".join(lines), encoding="utf-8")
     return str(path)
@@ -51,7 +52,7 @@
     """Addresses of the processes of a small system.
 
     Args:
-        folder: Where settings and durable state go.
+        folder: Folder of the settings and the durable state.
     """
 
     def __init__(self, folder):
@@ -113,11 +114,11 @@
         """Run the system with one backend server for each of `pools`."""
         with trio.fail_after(WAIT_S):
             async with trio.open_nursery() as nursery:
-                start = nursery.start_soon
-                start(application.run_control, self.control_settings())
-                start(application.run_entry, self.entry_settings())
+                start_soon = nursery.start_soon
+                start_soon(application.run_control, self.control_settings())
+                start_soon(application.run_entry, self.entry_settings())
                 for pool in pools:
-                    start(self.run_standin, f"{pool}-1", pool)
+                    start_soon(self.run_standin, f"{pool}-1", pool)
                 try:
                     yield self
                 finally:
--- a/tests/support/mixed.py
+++ b/tests/support/mixed.py
@@ -1,4 +1,4 @@
-"""Many requests of all kinds over entries and servers that misbehave or stop."""
+"""Many mixed requests over entries and servers that fail or stop."""
 
 from collections import Counter
 import contextlib
@@ -19,31 +19,33 @@
 UPLOAD_BYTES = 100_000
 
 
-def _grants_nothing():
-    """Stand for an entry that grants no slots to others."""
+def _grant_nothing():
+    """Take the place of an entry's placement that grants no slots to others."""
 
 
-class _FakeSpread:
+class _FakeGossip:
     def update_self(self, state):
         pass
 
 
 class Mixed:
-    """Entries that share stand-ins, and callers with books.
+    """Entries that share stand-ins, and callers that record all outcomes.
 
     Args:
         entries: Number of entries.
         servers: Number of stand-ins.
-        seed: Of the mix of requests.
+        seed: Seed of the mix of requests.
         options: Fields of the stand-ins' options to replace.
     """
 
     def __init__(self, entries, servers, seed, **options):
         names = [f"entry-{index}" for index in range(1, entries + 1)]
         self.standins = datapath.make_standins(servers, **options)
-        shared = datapath.FakeEntries(names)
+        fake_entries = datapath.FakeEntries(names)
         self.paths = [
-            datapath.DataPath(standins=self.standins, entries=shared, name=name)
+            datapath.DataPath(
+                standins=self.standins, entries=fake_entries, name=name
+            )
             for name in names
         ]
         self.ready = list(self.paths)
@@ -60,16 +62,17 @@
             if scope["path"] != "/hyssop/v1/lookup":
                 await path.proxy.serve(scope, receive, send)
                 return
-            named = [
-                {"address": one.address, "region": "dar"} for one in self.ready
+            entries = [
+                {"address": entry.address, "region": "dar"}
+                for entry in self.ready
             ]
-            body = {"revision": 1, "ttl_s": TTL_S, "entries": named}
+            body = {"revision": 1, "ttl_s": TTL_S, "entries": entries}
             await http.send_answer(send, http.json_answer(body))
 
         return app
 
-    async def run(self, requests, disturb=None):
-        """Send `requests` requests, while `disturb` goes on."""
+    async def run(self, requests, concurrent_task=None):
+        """Send `requests` requests while `concurrent_task` runs."""
         async with contextlib.AsyncExitStack() as stack:
             nursery = await stack.enter_async_context(trio.open_nursery())
             for standin, _ in self.standins:
@@ -77,47 +80,47 @@
             for path in self.paths:
                 await stack.enter_async_context(path.running())
             async with trio.open_nursery() as callers:
-                if disturb is not None:
-                    callers.start_soon(disturb, callers)
+                if concurrent_task is not None:
+                    callers.start_soon(concurrent_task, callers)
                 for number in range(CALLERS):
                     callers.start_soon(self._call, requests // CALLERS, number)
             nursery.cancel_scope.cancel()
 
     async def _call(self, count, number):
-        person = standin_caller.Caller("a", f"c{number}", self.books)
+        caller = standin_caller.Caller("a", f"c{number}", self.books)
         for _ in range(count):
             kind = self.rng.choices(("GET", "POST", "PUT"), (6, 3, 1))[0]
             path = "/upload" if kind == "PUT" else "/x"
             size = {"GET": 0, "POST": 100, "PUT": UPLOAD_BYTES}[kind]
-            seeds = [one.address for one in self.paths]
-            await person.ask(seeds, kind, path, size)
-        await person.aclose()
+            seeds = [path.address for path in self.paths]
+            await caller.ask(seeds, kind, path, size)
+        await caller.aclose()
 
     async def stop_entry(self, path):
-        """Stop an entry as planned."""
-        steps = stop.Stop(TTL_S, SPREAD_S, MAX_S)
+        """Run the planned stop of an entry."""
+        stop_steps = stop.Stop(TTL_S, SPREAD_S, MAX_S)
         leave = leaving.Leave(
-            steps,
+            stop_steps,
             path.listener,
-            _FakeSpread(),
-            _grants_nothing,
+            _FakeGossip(),
+            _grant_nothing,
             path.claims.hand_over,
         )
         self.ready.remove(path)
         await leave.run()
         path.stop.set()
-        self.stops.append(steps)
+        self.stops.append(stop_steps)
 
     def leave_server(self, index):
-        """Take a server out of placement, as its own word would."""
+        """Remove a server from placement, as its announcement would."""
         name = self.standins[index][1].server_id
         for path in self.paths:
-            path.placement.left.add(name)
+            path.placement.left_servers.add(name)
 
-    def ran(self):
-        """Return how often each key ran, over all servers."""
-        return sum((one.keys for one, _ in self.standins), Counter())
+    def run_counts(self):
+        """Return how often each key ran at all servers."""
+        return sum((standin.keys for standin, _ in self.standins), Counter())
 
-    def posts(self):
-        """Return the keys that the servers saw with what runs only once."""
-        return set().union(*(one.posted for one, _ in self.standins))
+    def once_keys(self):
+        """Return the keys of the requests that may run only once."""
+        return set().union(*(standin.posted for standin, _ in self.standins))
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that can forget the connections it carries."""
+"""A TCP relay that can silently drop its connections."""
 
 import functools
 
@@ -6,50 +6,55 @@
 
 
 class Relay:
-    """Pass bytes to `target`; `forget` swallows them without a word.
+    """Relays connections to `target` until `forget` or `cut` is called.
 
-    New connections work after `forget`, as with a middlebox that lost its
-    table of connections.
+    After `forget`, bytes of the open connections are discarded without a reset
+    while new connections work, as with a middlebox that lost its connection
+    table.
     """
 
     def __init__(self, target):
         self._target = target
         self._epoch = 0
         self.accepted = 0
-        self.deaf = False
+        self.is_cut = False
         self.address = ""
 
     def cut(self):
-        """Swallow all, on new connections too."""
+        """Discard all bytes, also those of new connections."""
         self.forget()
-        self.deaf = True
+        self.is_cut = True
 
     def forget(self):
-        """Swallow all that comes on the connections there are."""
+        """Discard all further bytes of the open connections."""
         self._epoch += 1
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
-        """Accept until cancelled."""
+        """Accept connections until cancelled."""
         async with trio.open_nursery() as nursery:
             serve = functools.partial(
-                trio.serve_tcp, self._carry, 0, host="127.0.0.1"
+                trio.serve_tcp, self._relay_connection, 0, host="127.0.0.1"
             )
             listeners = await nursery.start(serve)
             sock = listeners[0].socket
             self.address = f"127.0.0.1:{sock.getsockname()[1]}"
             task_status.started()
 
-    async def _carry(self, near):
+    async def _relay_connection(self, client_stream):
         self.accepted += 1
-        if self.deaf:
+        if self.is_cut:
             await trio.sleep_forever()
         host, _, port = self._target.rpartition(":")
-        far = await trio.open_tcp_stream(host, int(port))
-        async with far, trio.open_nursery() as nursery:
-            nursery.start_soon(self._pump, near, far, self._epoch)
-            nursery.start_soon(self._pump, far, near, self._epoch)
+        target_stream = await trio.open_tcp_stream(host, int(port))
+        async with target_stream, trio.open_nursery() as nursery:
+            nursery.start_soon(
+                self._copy, client_stream, target_stream, self._epoch
+            )
+            nursery.start_soon(
+                self._copy, target_stream, client_stream, self._epoch
+            )
 
-    async def _pump(self, source, sink, epoch):
+    async def _copy(self, source, sink, epoch):
         try:
             async for data in source:
                 if epoch == self._epoch:
