--- a/tests/support/mixed.py
+++ b/tests/support/mixed.py
@@ -92,7 +92,7 @@
             kind = self.rng.choices(("GET", "POST", "PUT"), (6, 3, 1))[0]
             path = "/upload" if kind == "PUT" else "/x"
             size = {"GET": 0, "POST": 100, "PUT": UPLOAD_BYTES}[kind]
-            seeds = [path.address for path in self.paths]
+            seeds = [data_path.address for data_path in self.paths]
             await caller.ask(seeds, kind, path, size)
         await caller.aclose()
 
