--- a/hyssopfold/entry/app.py
+++ b/hyssopfold/entry/app.py
@@ -139,6 +139,6 @@
             meter.in_flight.set(labels, in_flight_requests)
             retries_left = self._data_path.retry_budget(pool.name).left
             meter.retries_left.set(labels, retries_left)
-        for server in directory.servers.words():
+        for server in directory.servers.records():
             age_s = directory.servers.age_s(server.server_id, now)
             meter.lease_age.set({"member": server.server_id}, age_s)
--- a/tests/steps/core/distribution/difference_steps.py
+++ b/tests/steps/core/distribution/difference_steps.py
@@ -61,13 +61,13 @@
 @when("a distribution follower at revision {have:d} is answered")
 def _(context, have):
     context.have = have
-    mark = rows.digest(context.values[have])
-    context.update = context.recent.update(have, mark)
+    digest = rows.digest(context.values[have])
+    context.update = context.recent.update_since(have, digest)
 
 
 @when("a distribution follower with another value at revision 1 is answered")
 def _(context):
-    context.update = context.recent.update(1, rows.digest(b"[]"))
+    context.update = context.recent.update_since(1, rows.digest(b"[]"))
 
 
 @then("the distribution answer takes less than {limit:d} bytes")
