--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -276,16 +276,16 @@
         self, server: membership.Server
     ) -> AsyncIterator[bytes]:
         wait = self._link_wait(server)
-        self._apply_deadline(events.BodyBegan())
+        self._handle_body_event(events.BodyBegan())
         async for part in self._exchange.body():
             if self._exchange.body_dropped and not self._body_drop_reported:
                 self._body_drop_reported = True
                 self._handle(events.BodyDropped())
             await wait(part, self._exchange.length)
             yield part
-        self._apply_deadline(events.BodySent())
+        self._handle_body_event(events.BodySent())
 
-    def _apply_deadline(self, event: events.Event) -> None:
+    def _handle_body_event(self, event: events.Event) -> None:
         for effect in self._handle(event):
             if isinstance(effect, events.SetAnswerDeadline):
                 self._answer_scope.deadline = effect.deadline
--- a/tests/steps/entry/mixed_steps.py
+++ b/tests/steps/entry/mixed_steps.py
@@ -72,7 +72,9 @@
 def _(context):
     books = context.mixed.books
     answered = standin_caller.Told.ANSWERED
-    others = [told for told in books.told.values() if told is not answered]
+    others = [
+        outcome for outcome in books.told.values() if outcome is not answered
+    ]
     assert not others, others[:5]
     assert not books.cut, books.cut
     assert [stop.cut_requests for stop in context.mixed.stops] == [0, 0]
