--- a/hyssopfold/entry/attempt_dependencies.py
+++ b/hyssopfold/entry/attempt_dependencies.py
@@ -37,14 +37,14 @@
 class Quarantine(Protocol):
     """Quarantine of requests that crashed the servers that ran them."""
 
-    def knows(self, head: bytes) -> bool:
+    def may_be_quarantined(self, head: bytes) -> bool:
         """Return whether requests with this head may be quarantined.
 
         Args:
             head: Part of the fingerprint that depends on the head only.
         """
 
-    def holds(self, fingerprint: bytes, attempt: str) -> bool:
+    def is_blocked(self, fingerprint: bytes, attempt: str) -> bool:
         """Return whether an attempt must not be sent to any server now.
 
         Args:
@@ -52,7 +52,7 @@
             attempt: Id of the attempt.
         """
 
-    def answered(self, fingerprint: bytes) -> None:
+    def record_answer(self, fingerprint: bytes) -> None:
         """Record that a request was answered without a crash."""
 
 
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -173,16 +173,18 @@
 
     async def _buffer_suspected_request(self) -> None:
         """Buffer the body for the fingerprint if the head is quarantined."""
-        if self._dependencies.quarantine.knows(self._exchange.fingerprint_head):
+        if self._dependencies.quarantine.may_be_quarantined(
+            self._exchange.fingerprint_head
+        ):
             await self._exchange.buffer_for_fingerprint()
 
     def _is_quarantined(self, effect: events.Acquire) -> bool:
         """Return whether the quarantine forbids the next attempt."""
         quarantine, exchange = self._dependencies.quarantine, self._exchange
-        if not quarantine.knows(exchange.fingerprint_head):
+        if not quarantine.may_be_quarantined(exchange.fingerprint_head):
             return False
         attempt_id = f"{exchange.request_id} {len(effect.tried)}"
-        return quarantine.holds(exchange.fingerprint, attempt_id)
+        return quarantine.is_blocked(exchange.fingerprint, attempt_id)
 
     def _server_ids_to_avoid(
         self, tried: tuple[str, ...]
@@ -327,7 +329,9 @@
         result = self._attempt_result(kind, answer_stream)
         self._dependencies.placement.release(grant, result)
         if result.healthy:
-            self._dependencies.quarantine.answered(self._exchange.fingerprint)
+            self._dependencies.quarantine.record_answer(
+                self._exchange.fingerprint
+            )
         self._log_attempt(grant, result, answer_stream)
         if kind == "failed":
             self._check_server(grant.server)
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -130,18 +130,18 @@
         self.answered_fingerprints = []
         self.crashes = []
 
-    def knows(self, head):
+    def may_be_quarantined(self, head):
         return any(
             fingerprint.startswith(head) for fingerprint in self.quarantined
         )
 
-    def holds(self, fingerprint, attempt):
+    def is_blocked(self, fingerprint, attempt):
         return fingerprint in self.quarantined
 
-    def answered(self, fingerprint):
+    def record_answer(self, fingerprint):
         self.answered_fingerprints.append(fingerprint)
 
-    def crashed(self, server, fingerprint):
+    def record_crash(self, server, fingerprint):
         self.crashes.append((server.server_id, fingerprint))
 
 
@@ -172,7 +172,7 @@
             core_claims.ClaimTable(),
         )
 
-    def to(self, address):
+    def client_for(self, address):
         """Return a client to an entry."""
         return _FakeClient(self, address)
 
