--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -1,4 +1,4 @@
-"""Carry out what the attempts of one request decide."""
+"""Executes the effects of the state machine of a request's attempts."""
 
 from collections.abc import AsyncIterator
 import functools
@@ -14,28 +14,31 @@
 from hyssopfold.core.balancing import messages
 from hyssopfold.core.membership import messages as membership
 from hyssopfold.core.steering import regions
+from hyssopfold.entry import answer_relay
 from hyssopfold.entry import answers
-from hyssopfold.entry import carrier_parts
+from hyssopfold.entry import attempt_dependencies
 from hyssopfold.entry import crash_checks
 from hyssopfold.entry import exchange as exchange_module
-from hyssopfold.entry import relaying
 from hyssopfold.entry import upstream
 
 logger = logging.getLogger(__name__)
 
-# Bodies longer than this, or of unknown length, wait for room on a link
-# behind short ones.
-BULK_BYTES = 256 * 1024
-SERVER_FAILURE = 500
-# When the caller of a request that is held back may ask again.
+# Longer bodies, and bodies of unknown length, yield the capacity of a link
+# between regions to shorter ones.
+BULK_THRESHOLD_BYTES = 256 * 1024
+MIN_SERVER_ERROR_STATUS = 500
+# Seconds after which a caller may retry a quarantined request.
 QUARANTINED_RETRY_S = 60.0
 
 
-class Carrier:
-    """One request on its way to a server and back.
+class AttemptExecutor:
+    """Executes the attempts of one request; `proxy.Proxy` creates it.
+
+    It passes events to the state machine of `core.attempts` and executes the
+    effects: acquires slots, sends the request, relays or refuses the answer.
 
     Args:
-        parts: What all requests share.
+        dependencies: Services that all requests share.
         exchange: The request.
         route: Its route.
         pool: The pool that serves it.
@@ -43,82 +46,86 @@
 
     def __init__(
         self,
-        parts: carrier_parts.Parts,
+        dependencies: attempt_dependencies.AttemptDependencies,
         exchange: exchange_module.Exchange,
         route: tables.Route,
         pool: tables.Pool,
     ) -> None:
-        self._parts = parts
+        self._dependencies = dependencies
         self._exchange = exchange
         self._dialect = exchange.dialect
         self._route = route
         self._pool = pool
-        limit_s, is_absolute = answers.limit(exchange, route)
-        # A request that stood behind others has used a part of its time.
-        limit_s = max(0.0, limit_s - (trio.current_time() - exchange.began))
+        limit_s, is_total_limit = answers.time_limit(exchange, route)
+        # Time spent waiting for earlier requests of the connection counts.
+        limit_s = max(0.0, limit_s - (trio.current_time() - exchange.began_at))
         self._request = events.Request(
             exchange.request_id,
             route.is_repeatable(exchange.method),
             exchange.has_body,
             limit_s,
-            is_absolute,
+            is_total_limit,
             route.attempts,
-            parts.expects_silence,
+            dependencies.may_use_stale_connections,
         )
         self._machine = attempt.Attempts(
-            self._request, parts.budget_of(pool.name)
+            self._request, dependencies.retry_budget(pool.name)
         )
-        self._decision = parts.steering.decide(
+        self._decision = dependencies.steering.decide(
             route, exchange.request_id, exchange.client, pool.name
         )
         self._grant: messages.Grant | None = None
         self._granted_at = 0.0
-        self._answer_by = trio.CancelScope()
-        # Whether the connection of the attempt broke.
-        self._is_broken = False
-        self._told_dropped = False
-        self._answering: upstream.Answering | None = None
-        self._relay: relaying.Relay | None = None
+        self._answer_scope = trio.CancelScope()
+        # Whether the connection of the current attempt failed.
+        self._connection_failed = False
+        self._body_drop_reported = False
+        self._answer_stream: upstream.AnswerStream | None = None
+        self._relay: answer_relay.AnswerRelay | None = None
 
     @property
-    def fate(self) -> str:
-        """Return what is certain of the request, for its claim."""
+    def outcome(self) -> str:
+        """Return the outcome of the request for its claim."""
         if self._exchange.outcome == "answered":
             return "answered"
         return self._machine.outcome.value
 
     async def run(self) -> None:
-        """Carry the request from its head to its end."""
+        """Run the attempts of the request until it ends.
+
+        Raises:
+            CutAnswerError: when the answer to the caller must be cut.
+        """
         try:
-            await self._loop()
+            await self._run_effects()
         except exchange_module.CallerGoneError:
-            await self._caller_gone()
+            await self._abandon()
         except trio.Cancelled:
             with trio.CancelScope(shield=True):
-                await self._caller_gone()
+                await self._abandon()
             raise
 
-    async def _loop(self) -> None:
-        effects = self._tell(events.Started())
+    async def _run_effects(self) -> None:
+        effects = self._handle(events.Started())
         while effects:
             event: events.Event | None = None
             for effect in effects:
-                # Compared with None: an event without fields is false.
-                found = await self._carry(effect)
-                event = event if found is None else found
-            effects = self._tell(event) if event is not None else ()
+                # Compared with None since an event without fields is falsy.
+                next_event = await self._execute(effect)
+                event = event if next_event is None else next_event
+            effects = self._handle(event) if event is not None else ()
 
-    def _tell(self, event: events.Event) -> attempt.Effects:
+    def _handle(self, event: events.Event) -> attempt.Effects:
         return self._machine.handle(event, trio.current_time())
 
-    async def _carry(self, effect: events.Effect) -> events.Event | None:
+    async def _execute(self, effect: events.Effect) -> events.Event | None:
         match effect:
             case events.Acquire():
                 return await self._acquire(effect)
             case events.Send():
                 return await self._send(effect)
             case events.Relay():
-                return await self._pass_on()
+                return await self._relay_answer()
             case events.CloseConnection():
                 await self._end_attempt("failed")
             case events.Refuse():
@@ -131,30 +138,34 @@
         return None
 
     async def _acquire(self, effect: events.Acquire) -> events.Event:
-        parts, pool = self._parts, self._pool
-        refused = messages.Refused("deadline-passed", attempt.RETRY_AFTER_S)
-        answer: messages.Grant | messages.Refused = refused
+        dependencies, pool = self._dependencies, self._pool
+        deadline_refusal = messages.Refused(
+            "deadline-passed", attempt.RETRY_AFTER_S
+        )
+        answer: messages.Grant | messages.Refused = deadline_refusal
         with trio.move_on_at(effect.deadline):
             try:
-                await self._read_suspect()
+                await self._buffer_suspected_request()
             except exchange_module.BodyTooLargeError:
                 return events.NoSlot("body too large", attempt.RETRY_AFTER_S)
-            if self._is_held(effect):
+            if self._is_quarantined(effect):
                 return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
-            for avoid in self._avoid(effect.tried):
-                req = self._wanted(effect, avoid)
-                answer = await parts.placement.acquire(req, pool)
+            for avoided_ids in self._server_ids_to_avoid(effect.tried):
+                req = self._slot_request(effect, avoided_ids)
+                answer = await dependencies.placement.acquire(req, pool)
                 if isinstance(answer, messages.Grant):
                     break
         if isinstance(answer, messages.Refused):
             return events.NoSlot(answer.reason, answer.retry_after_s)
-        if self._is_held(effect):
-            # Since it began to wait for a slot.
-            unused = messages.AttemptResult("cancelled", 0.0, connected=False)
-            parts.placement.release(answer, unused)
+        if self._is_quarantined(effect):
+            # It was quarantined while it waited for the slot.
+            unused_slot = messages.AttemptResult(
+                "cancelled", 0.0, connected=False
+            )
+            dependencies.placement.release(answer, unused_slot)
             return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
         if not effect.tried:
-            parts.steering.record_server(
+            dependencies.steering.record_server(
                 pool.name, self._decision, answer.server
             )
         self._grant = answer
@@ -162,36 +173,50 @@
         self._log_grant(answer, effect)
         return events.Granted(answer.server.server_id)
 
-    async def _read_suspect(self) -> None:
-        """Read what tells whether a request is one that may be held back."""
-        if self._parts.quarantine.may_be_quarantined(
+    async def _buffer_suspected_request(self) -> None:
+        """Buffer the body for the fingerprint if the head is quarantined."""
+        if self._dependencies.quarantine.may_be_quarantined(
             self._exchange.fingerprint_head
         ):
-            await self._exchange.read_ahead()
+            await self._exchange.buffer_for_fingerprint()
 
-    def _is_held(self, effect: events.Acquire) -> bool:
-        """Return whether the next attempt is held back, as far as is known."""
-        held, exchange = self._parts.quarantine, self._exchange
-        if not held.may_be_quarantined(exchange.fingerprint_head):
+    def _is_quarantined(self, effect: events.Acquire) -> bool:
+        """Return whether the quarantine forbids the next attempt."""
+        quarantine, exchange = self._dependencies.quarantine, self._exchange
+        if not quarantine.may_be_quarantined(exchange.fingerprint_head):
             return False
         attempt_id = f"{exchange.request_id} {len(effect.tried)}"
-        return held.is_blocked(exchange.fingerprint, attempt_id)
+        return quarantine.is_blocked(exchange.fingerprint, attempt_id)
+
+    def _server_ids_to_avoid(
+        self, tried: tuple[str, ...]
+    ) -> list[tuple[str, ...]]:
+        """Return the servers to avoid, as alternatives in order of preference.
 
-    def _avoid(self, tried: tuple[str, ...]) -> list[tuple[str, ...]]:
-        """Return what to avoid: failure domains tried, else servers tried."""
+        First all servers in the failure domains of the tried ones, if others
+        are left, then only the tried ones.
+        """
         if not tried:
             return [()]
-        ready = self._parts.known.ready_servers(self._pool.name)
-        domains = {
-            one.failure_domain for one in ready if one.server_id in tried
+        ready_servers = self._dependencies.server_directory.ready_servers(
+            self._pool.name
+        )
+        tried_domains = {
+            server.failure_domain
+            for server in ready_servers
+            if server.server_id in tried
         }
-        near = {one.server_id for one in ready if one.failure_domain in domains}
-        if len(near) == len(ready):
+        ids_in_tried_domains = {
+            server.server_id
+            for server in ready_servers
+            if server.failure_domain in tried_domains
+        }
+        if len(ids_in_tried_domains) == len(ready_servers):
             return [tried]
-        return [(*tried, *sorted(near - set(tried))), tried]
+        return [(*tried, *sorted(ids_in_tried_domains - set(tried))), tried]
 
-    def _wanted(
-        self, effect: events.Acquire, avoid: tuple[str, ...]
+    def _slot_request(
+        self, effect: events.Acquire, avoided_ids: tuple[str, ...]
     ) -> messages.Request:
         key = self._exchange.object_key if self._route.sticky else ""
         return messages.Request(
@@ -204,167 +229,182 @@
             ),
             self._route.priority,
             effect.deadline,
-            avoid,
+            avoided_ids,
             f"{self._route.name} {key}" if key else "",
             self._route.latency_goal_ms / 1000,
             self._route.name,
-            trio.current_time() - self._exchange.began,
+            trio.current_time() - self._exchange.began_at,
         )
 
     async def _send(self, effect: events.Send) -> events.Event:
         assert self._grant is not None
         server, exchange = self._grant.server, self._exchange
         left_s = effect.deadline - trio.current_time()
-        outgoing = upstream.Outgoing(
+        outgoing = upstream.OutgoingRequest(
             exchange.method,
             exchange.target(),
             exchange.request_headers(left_s, server.server_id),
-            self._body(server) if exchange.has_body else None,
+            self._stream_body(server) if exchange.has_body else None,
         )
-        self._answer_by = trio.CancelScope(deadline=effect.deadline)
-        self._is_broken = False
+        self._answer_scope = trio.CancelScope(deadline=effect.deadline)
+        self._connection_failed = False
         try:
-            with self._answer_by:
-                self._answering = await self._parts.upstream.send(
-                    server, outgoing, effect.fresh, self._note_bytes_sent
+            with self._answer_scope:
+                self._answer_stream = await self._dependencies.upstream.send(
+                    server, outgoing, effect.fresh, self._on_bytes_sent
                 )
-                await self._read_short(server)
+                await self._buffer_short_answer(server)
         except upstream.LostError as exc:
-            self._is_broken = True
+            self._connection_failed = True
             return events.AttemptFailed(str(exc))
         except exchange_module.BodyTooLargeError:
             return events.AttemptFailed("body too large")
-        if self._answering is None or self._answer_by.cancelled_caught:
+        if self._answer_stream is None or self._answer_scope.cancelled_caught:
             return events.AttemptFailed("no answer in time")
-        return answers.began(exchange, self._answering.answer)
+        return answers.answer_began(exchange, self._answer_stream.answer)
 
-    async def _read_short(self, server: membership.Server) -> None:
-        assert self._answering is not None
+    async def _buffer_short_answer(self, server: membership.Server) -> None:
+        assert self._answer_stream is not None
         if not self._request.is_total_limit:
-            # It has begun: from here on only a stall ends it.
-            self._answer_by.deadline = math.inf
-        self._relay = relaying.Relay(
-            self._answering.answer, self._exchange, self._pacer(server)
+            # The answer has begun: from now on only the stall timeout applies.
+            self._answer_scope.deadline = math.inf
+        self._relay = answer_relay.AnswerRelay(
+            self._answer_stream.answer, self._exchange, self._link_wait(server)
         )
-        await self._relay.read_short()
+        await self._relay.buffer_short_answer()
 
-    def _note_bytes_sent(self) -> None:
-        self._tell(events.BytesSent())
+    def _on_bytes_sent(self) -> None:
+        self._handle(events.BytesSent())
 
-    async def _body(self, server: membership.Server) -> AsyncIterator[bytes]:
-        pace = self._pacer(server)
-        self._note(events.BodyBegan())
+    async def _stream_body(
+        self, server: membership.Server
+    ) -> AsyncIterator[bytes]:
+        wait = self._link_wait(server)
+        self._handle_body_event(events.BodyBegan())
         async for part in self._exchange.body():
-            if self._exchange.dropped and not self._told_dropped:
-                self._told_dropped = True
-                self._tell(events.BodyDropped())
-            await pace(part, self._exchange.length)
+            if self._exchange.body_dropped and not self._body_drop_reported:
+                self._body_drop_reported = True
+                self._handle(events.BodyDropped())
+            await wait(part, self._exchange.length)
             yield part
-        self._note(events.BodySent())
+        self._handle_body_event(events.BodySent())
 
-    def _note(self, event: events.Event) -> None:
-        for effect in self._tell(event):
+    def _handle_body_event(self, event: events.Event) -> None:
+        for effect in self._handle(event):
             if isinstance(effect, events.SetAnswerDeadline):
-                self._answer_by.deadline = effect.deadline
+                self._answer_scope.deadline = effect.deadline
 
-    def _pacer(self, server: membership.Server) -> relaying.Pace:
-        """Return what waits for room on the link to a server."""
-        parts = self._parts
+    def _link_wait(self, server: membership.Server) -> answer_relay.LinkWait:
+        """Return a function that waits for capacity on a server's link."""
+        dependencies = self._dependencies
 
-        async def pace(part: bytes, length: int | None) -> None:
-            if server.region != parts.region:
-                bulk = length is None or length > BULK_BYTES
-                await parts.pacer.throttle(server.region, len(part), bulk)
+        async def wait(part: bytes, length: int | None) -> None:
+            if server.region != dependencies.region:
+                is_bulk = length is None or length > BULK_THRESHOLD_BYTES
+                await dependencies.pacer.throttle(
+                    server.region, len(part), is_bulk
+                )
 
-        return pace
+        return wait
 
-    async def _pass_on(self) -> events.Event:
+    async def _relay_answer(self) -> events.Event:
         assert self._relay is not None
-        free = functools.partial(self._end_attempt, "answered")
+        release = functools.partial(self._end_attempt, "answered")
         try:
-            await self._relay.run(free)
+            await self._relay.run(release)
         except upstream.LostError as exc:
-            self._is_broken = True
+            self._connection_failed = True
             return events.AttemptFailed(str(exc))
         return events.AnswerEnded()
 
     async def _end_attempt(self, kind: str) -> None:
-        """Give slot and connection back; close the latter unless answered."""
+        """Release the slot, and release or close the connection.
+
+        Args:
+            kind: `answered`, which keeps the connection, `failed` or
+                `cancelled`.
+        """
         grant, self._grant = self._grant, None
         if grant is None:
             return
         if kind == "failed":
-            kind = self._shed_or_failed()
-        answering, self._answering = self._answering, None
-        done = self._done(kind, answering)
-        self._parts.placement.release(grant, done)
-        if done.healthy:
-            self._parts.quarantine.record_answer(self._exchange.fingerprint)
-        self._log_attempt(grant, done, answering)
+            kind = self._failure_kind()
+        answer_stream, self._answer_stream = self._answer_stream, None
+        result = self._attempt_result(kind, answer_stream)
+        self._dependencies.placement.release(grant, result)
+        if result.healthy:
+            self._dependencies.quarantine.record_answer(
+                self._exchange.fingerprint
+            )
+        self._log_attempt(grant, result, answer_stream)
         if kind == "failed":
             self._check_server(grant.server)
-        if answering is None:
+        if answer_stream is None:
             return
         if kind == "answered":
-            await self._parts.upstream.finish(answering)
+            await self._dependencies.upstream.finish(answer_stream)
         else:
-            await self._parts.upstream.drop(answering)
+            await self._dependencies.upstream.discard(answer_stream)
 
     def _check_server(self, server: membership.Server) -> None:
-        """Let it be checked whether a server crashed under this request."""
+        """Request a check whether a server crashed while it ran the request."""
         fingerprint = self._exchange.fingerprint
-        may_run = self._machine.last_sent is events.Sent.MAYBE_SENT
-        if self._is_broken and may_run and fingerprint:
-            self._parts.upstream.checks.schedule_check(
+        may_have_run = self._machine.last_sent is events.Sent.MAYBE_SENT
+        if self._connection_failed and may_have_run and fingerprint:
+            self._dependencies.upstream.checks.schedule_check(
                 crash_checks.BrokenAttempt(
                     server, fingerprint, self._exchange.request_id
                 )
             )
 
-    def _done(
-        self, kind: str, answering: upstream.Answering | None
+    def _attempt_result(
+        self, kind: str, answer_stream: upstream.AnswerStream | None
     ) -> messages.AttemptResult:
-        took = trio.current_time() - self._granted_at
-        if answering is None:
-            reached = self._machine.last_sent is not events.Sent.NOT_SENT
-            return messages.AttemptResult(kind, took, reached, False)
-        answer = answering.answer
+        duration_s = trio.current_time() - self._granted_at
+        if answer_stream is None:
+            connected = self._machine.last_sent is not events.Sent.NOT_SENT
+            return messages.AttemptResult(kind, duration_s, connected, False)
+        answer = answer_stream.answer
         headers = {key.lower(): value for key, value in answer.headers}
-        good = kind == "answered" and answer.status < SERVER_FAILURE
+        is_healthy = (
+            kind == "answered" and answer.status < MIN_SERVER_ERROR_STATUS
+        )
         return messages.AttemptResult(
             kind,
-            took,
+            duration_s,
             True,
-            good,
-            self._dialect.load_of(headers),
+            is_healthy,
+            self._dialect.parse_load(headers),
             self._dialect.is_misdirected(answer.status),
         )
 
-    def _shed_or_failed(self) -> str:
-        shed = self._machine.last_sent is events.Sent.REFUSED_NOT_RUN
-        return "shed" if shed else "failed"
+    def _failure_kind(self) -> str:
+        was_shed = self._machine.last_sent is events.Sent.REFUSED_NOT_RUN
+        return "shed" if was_shed else "failed"
 
-    async def _caller_gone(self) -> None:
+    async def _abandon(self) -> None:
         if self._machine.phase is not attempt.Phase.DONE:
-            self._tell(events.CallerGone())
+            self._handle(events.CallerGone())
         self._exchange.outcome = "caller-gone"
         await self._end_attempt("cancelled")
 
     async def _refuse(self, effect: events.Refuse) -> None:
         outcome = effect.outcome.value
         if effect.reason == "body too large":
-            refusal = exchange_module.too_large(
+            refusal = exchange_module.body_too_large(
                 outcome, exchange_module.MAX_BODY_BYTES
             )
         else:
             refusal = answers.refusal(effect, self._pool.name)
-        await self._parts.refuse(self._exchange, refusal)
+        await self._dependencies.refuse(self._exchange, refusal)
 
     def _log_grant(self, grant: messages.Grant, effect: events.Acquire) -> None:
         now = trio.current_time()
         server = grant.server
-        lease_s = self._parts.known.servers.left_s(server.server_id, now)
-        budget_left = self._parts.budget_of(self._pool.name).left
+        lease_s = self._dependencies.server_directory.servers.left_s(
+            server.server_id, now
+        )
+        budget_left = self._dependencies.retry_budget(self._pool.name).left
         self._exchange.log.add(
             logger,
             "routing-decision",
@@ -374,7 +414,7 @@
             region=server.region,
             reason=grant.reason,
             load=round(grant.estimated_load, 2),
-            load_age_s=answers.shown_age(grant.load_age_s),
+            load_age_s=answers.format_age(grant.load_age_s),
             expected_s=round(grant.expected_s, 4),
             lease_left_s=round(lease_s, 3),
             cold=grant.is_cold,
@@ -386,20 +426,20 @@
     def _log_attempt(
         self,
         grant: messages.Grant,
-        done: messages.AttemptResult,
-        answering: upstream.Answering | None,
+        result: messages.AttemptResult,
+        answer_stream: upstream.AnswerStream | None,
     ) -> None:
-        status = answering.answer.status if answering is not None else 0
-        self._parts.meter.attempts.observe(
-            {"pool": self._pool.name, "result": done.kind}, done.duration_s
+        status = answer_stream.answer.status if answer_stream is not None else 0
+        self._dependencies.meter.attempts.observe(
+            {"pool": self._pool.name, "result": result.kind}, result.duration_s
         )
         self._exchange.log.add(
             logger,
             "attempt-ended",
             server=grant.server.server_id,
-            result=done.kind,
+            result=result.kind,
             status=status,
             sent=self._machine.last_sent.value,
-            detail="" if done.healthy else self._machine.last_reason,
-            took_s=round(done.duration_s, 4),
+            detail="" if result.healthy else self._machine.last_reason,
+            took_s=round(result.duration_s, 4),
         )
--- a/hyssopfold/entry/connections.py
+++ b/hyssopfold/entry/connections.py
@@ -1,4 +1,4 @@
-"""Connections to backend servers: opened, proved live, bounded, closed."""
+"""Connections to backend servers: pooled, limited in number and in age."""
 
 from collections import defaultdict
 from collections.abc import Callable
@@ -11,18 +11,20 @@
 from hyssopfold.core.membership import messages
 
 CONNECT_TIMEOUT_S = 2.0
-IDLE_S = 10.0
+MAX_IDLE_S = 10.0
 MAX_AGE_S = 300.0
-# Something between the two ends may forget a connection: what is written to
-# it then is never acknowledged, and without these it would hang for minutes.
+# A middlebox may drop a connection from its table: bytes written to it are then
+# never acknowledged. Without these timeouts the connection would hang for
+# minutes.
 USER_TIMEOUT_MS = 3_000
 KEEPALIVE_IDLE_S = 5
 KEEPALIVE_PERIOD_S = 1
 KEEPALIVE_PROBES = 3
-# A server closes a connection that rested for the time it names, by its own
-# clock; resting less here leaves room for the way of the next request.
+# A server closes a connection that was idle for the announced keep-alive time,
+# by its own clock. Using it for a part of that time only leaves time for the
+# next request to arrive.
 KEEP_ALIVE_SHARE = 0.7
-# How often a blocked upload looks whether the server has answered already.
+# How often a blocked upload checks whether the server has already answered.
 EARLY_ANSWER_CHECK_S = 0.25
 _OPTIONS = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
@@ -35,18 +37,24 @@
 
 
 class NotOpenedError(Exception):
-    """No connection could be opened: nothing was sent."""
+    """No connection could be opened, so nothing was sent."""
 
 
 class RefusedError(NotOpenedError):
-    """Nothing accepts connections at the address."""
+    """The address refuses connections: no process listens there."""
 
 
 class Stream(httpcore.AsyncNetworkStream):
-    """A socket that knows whether any byte of a request left.
+    """A network stream of httpcore that reports a request's first byte.
 
     Args:
-        sock: The socket, owned from now on.
+        sock: The socket. The stream takes ownership of it.
+
+    Attributes:
+        on_first_byte: Called once the first byte of a request is passed to the
+            network.
+        body_follows: Whether the request has a body, so that the server may
+            answer before its end.
     """
 
     def __init__(self, sock: trio.socket.SocketType) -> None:
@@ -55,35 +63,36 @@
         self.body_follows = False
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:
-        """Return what came, at most `max_bytes` bytes; none at the end."""
+        """Return at most `max_bytes` received bytes, or b"" at the end."""
         try:
-            with trio.fail_after(_seconds(timeout)):
+            with trio.fail_after(_timeout_s(timeout)):
                 return await self._sock.recv(max_bytes)
         except trio.TooSlowError as exc:
-            raise httpcore.ReadTimeout(f"nothing for {timeout} s") from exc
+            raise httpcore.ReadTimeout(f"no data for {timeout} s") from exc
         except OSError as exc:
             raise httpcore.ReadError(str(exc)) from exc
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:
-        """Write all of `buffer`, or stop when an answer is there already.
+        """Write all of `buffer`, unless the server has already answered.
 
         Raises:
-            WriteError: when the connection broke, or the server answered
+            WriteError: when the connection failed, or the server answered
                 before the request's end: httpcore then reads the answer.
+            WriteTimeout: when no byte was accepted for `timeout` seconds.
         """
         view = memoryview(buffer)
-        until = trio.current_time() + _seconds(timeout)
+        deadline = trio.current_time() + _timeout_s(timeout)
         while view:
-            # A server that refuses an upload answers, then reads no more.
+            # A server that refuses an upload answers and stops reading.
             if self.body_follows and self._sock.is_readable():
                 raise httpcore.WriteError("answered before the request's end")
-            count = await self._write_some(view)
-            if count:
-                until = trio.current_time() + _seconds(timeout)
-                self._note_sent()
-            elif trio.current_time() >= until:
+            sent_bytes = await self._write_some(view)
+            if sent_bytes:
+                deadline = trio.current_time() + _timeout_s(timeout)
+                self._record_sent()
+            elif trio.current_time() >= deadline:
                 raise httpcore.WriteTimeout(f"no progress for {timeout} s")
-            view = view[count:]
+            view = view[sent_bytes:]
 
     async def _write_some(self, view: memoryview) -> int:
         try:
@@ -93,7 +102,7 @@
             raise httpcore.WriteError(str(exc)) from exc
         return 0
 
-    def _note_sent(self) -> None:
+    def _record_sent(self) -> None:
         if self.on_first_byte is not None:
             self.on_first_byte()
             self.on_first_byte = None
@@ -103,122 +112,128 @@
         self._sock.close()
 
     def get_extra_info(self, info: str) -> Any:
-        """Return `is_readable`, the one thing httpcore asks for."""
+        """Return `is_readable`, the only key that httpcore uses."""
         if info != "is_readable":
             return None
-        # A closed one counts as readable: it is not to be used again.
+        # A closed socket counts as readable, so that it is not reused.
         return self._sock.fileno() < 0 or self._sock.is_readable()
 
 
 class Connection:
-    """One connection to a backend server.
+    """A connection to a backend server.
 
     Args:
-        address: IP number and port of the server.
-        stream: The open socket.
-        now: Time of opening.
+        address: IP address and port of the server.
+        stream: The open stream.
+        now: Monotonic time in seconds at which it was opened.
+
+    Attributes:
+        http: The HTTP/1.1 connection of httpcore.
+        max_idle_s: Seconds that it may be idle before the server may close it.
     """
 
     def __init__(self, address: str, stream: Stream, now: float) -> None:
         self.address = address
         self.stream = stream
-        self.opened = now
-        self.used = now
-        # How long it may rest before the server may close it.
-        self.idle_s = IDLE_S
+        self.opened_at = now
+        self.last_used_at = now
+        self.max_idle_s = MAX_IDLE_S
         host, port = address.rsplit(":", 1)
         origin = httpcore.Origin(b"http", host.encode(), int(port))
         self.http = httpcore.AsyncHTTP11Connection(origin, stream)
 
-    def note_keep_alive(self, value: bytes) -> None:
-        """Take in how long the server keeps the connection, if it says so."""
+    def record_keep_alive(self, value: bytes) -> None:
+        """Update the idle limit with the value of a `keep-alive` header."""
         for part in value.split(b","):
             name, _, number = part.strip().partition(b"=")
             if name.lower() == b"timeout" and number.isdigit():
-                self.idle_s = min(IDLE_S, int(number) * KEEP_ALIVE_SHARE)
+                self.max_idle_s = min(
+                    MAX_IDLE_S, int(number) * KEEP_ALIVE_SHARE
+                )
 
     def is_clean(self) -> bool:
-        """Return whether it is open, between requests, with nothing on it.
+        """Return whether it is open, idle, and has no unread bytes.
 
-        A byte beyond an answer's end would be read as the beginning of the
-        next request's answer. httpcore keeps such bytes in its parser, where
-        only this attribute shows them.
+        Bytes after the end of an answer would be read as the beginning of the
+        next request's answer. httpcore keeps such bytes in its parser and shows
+        them in this private attribute only.
         """
         if not self.http.is_idle() or self.http.has_expired():
             return False
         return not self.http._h11_state.trailing_data[0]
 
     async def aclose(self) -> None:
-        """Close it."""
+        """Close the connection."""
         await self.http.aclose()
 
 
-class Pool:
-    """Connections to all servers, each server's within a bound.
+class ConnectionPool:
+    """The connections of an entry to all servers.
 
     Args:
-        bound: Gives the connections that this entry may hold to a server.
-        proven_s: Seconds for which a connection that brought a whole answer
-            counts as new: it was alive so short a time ago.
-        connect_s: Seconds to wait for a new connection. Nothing is sent
-            before it is there, so what waits can go to another server.
+        max_connections: Returns the number of connections that this entry may
+            have to a server.
+        proven_s: Seconds for which a connection counts as new after a complete
+            answer, since it was alive at that time.
+        connect_timeout_s: Seconds to wait for a new connection. Nothing is sent
+            before, so the request can go to another server.
     """
 
     def __init__(
         self,
-        bound: Callable[[messages.Server], int],
+        max_connections: Callable[[messages.Server], int],
         proven_s: float = 0.0,
-        connect_s: float = CONNECT_TIMEOUT_S,
+        connect_timeout_s: float = CONNECT_TIMEOUT_S,
     ) -> None:
-        self._bound = bound
+        self._max_connections = max_connections
         self._proven_s = proven_s
-        self._connect_s = connect_s
+        self._connect_timeout_s = connect_timeout_s
         self._idle: dict[str, list[Connection]] = defaultdict(list)
-        self._count: dict[str, int] = defaultdict(int)
+        self._counts: dict[str, int] = defaultdict(int)
 
     def count(self, address: str) -> int:
-        """Return the connections held to a server."""
-        return self._count[address]
+        """Return the number of connections to a server."""
+        return self._counts[address]
 
-    async def take(self, server: messages.Server, fresh: bool) -> Connection:
+    async def acquire(self, server: messages.Server, fresh: bool) -> Connection:
         """Return a connection to `server` for one request.
 
         Args:
-            server: Where to.
-            fresh: Whether it must be a new one, or one just proven alive.
+            server: The server.
+            fresh: Whether it must be new, or proved alive a short time ago.
 
         Raises:
-            NotOpenedError: when none can be had.
+            NotOpenedError: when no connection is available.
         """
         address = server.address
         idle = self._idle[address]
         now = trio.current_time()
         while idle and (not fresh or self._is_proven(idle[-1], now)):
             conn = idle.pop()
-            if self._is_good(conn, now):
+            if self._is_usable(conn, now):
                 return conn
             await self._close(conn)
-        if self._count[address] >= self._bound(server):
+        if self._counts[address] >= self._max_connections(server):
             if not idle:
-                raise NotOpenedError("connections to the server are spent")
+                raise NotOpenedError("connection limit of the server reached")
             await self._close(idle.pop(0))
         return await self._open(address)
 
-    async def give_back(self, conn: Connection) -> None:
-        """Keep a connection for the next request if nothing is left on it."""
+    async def release(self, conn: Connection) -> None:
+        """Return a connection to the pool, or close it if it is not reusable."""
         now = trio.current_time()
-        conn.used = now
-        if self._is_good(conn, now):
+        conn.last_used_at = now
+        if self._is_usable(conn, now):
             self._idle[conn.address].append(conn)
         else:
             await self._close(conn)
 
-    async def drop(self, conn: Connection) -> None:
-        """Close a connection whose request was cancelled or went wrong."""
+    async def discard(self, conn: Connection) -> None:
+        """Close a connection whose request was cancelled or failed."""
         await self._close(conn)
 
-    async def refuses(self, address: str) -> bool:
-        """Return whether nothing accepts connections at an address now."""
+    async def is_refused(self, address: str) -> bool:
+        """Return whether an address currently refuses connections."""
         try:
             conn = await self._open(address)
         except RefusedError:
@@ -229,17 +244,19 @@
         return False
 
     async def sweep(self) -> None:
-        """Close connections idle for too long, for ever."""
+        """Close connections beyond their idle limit or age, until cancelled."""
         while True:
-            await trio.sleep(IDLE_S / 4)
+            await trio.sleep(MAX_IDLE_S / 4)
             now = trio.current_time()
             for address, idle in list(self._idle.items()):
-                bad = [conn for conn in idle if not self._is_good(conn, now)]
-                idle[:] = [conn for conn in idle if conn not in bad]
-                for conn in bad:
+                unusable = [
+                    conn for conn in idle if not self._is_usable(conn, now)
+                ]
+                idle[:] = [conn for conn in idle if conn not in unusable]
+                for conn in unusable:
                     await self._close(conn)
-                if not self._count[address]:
-                    del self._idle[address], self._count[address]
+                if not self._counts[address]:
+                    del self._idle[address], self._counts[address]
 
     async def aclose(self) -> None:
         """Close the idle connections."""
@@ -248,16 +265,16 @@
                 await self._close(idle.pop())
 
     def _is_proven(self, conn: Connection, now: float) -> bool:
-        return now - conn.used < self._proven_s
+        return now - conn.last_used_at < self._proven_s
 
-    def _is_good(self, conn: Connection, now: float) -> bool:
-        rested = now - conn.used > conn.idle_s
-        old = now - conn.opened > MAX_AGE_S
-        return not rested and not old and conn.is_clean()
+    def _is_usable(self, conn: Connection, now: float) -> bool:
+        is_idle_too_long = now - conn.last_used_at > conn.max_idle_s
+        is_too_old = now - conn.opened_at > MAX_AGE_S
+        return not is_idle_too_long and not is_too_old and conn.is_clean()
 
     async def _open(self, address: str) -> Connection:
         host, port = address.rsplit(":", 1)
-        self._count[address] += 1
+        self._counts[address] += 1
         sock = None
         try:
             sock = trio.socket.socket(
@@ -265,10 +282,10 @@
             )
             for option in _OPTIONS:
                 sock.setsockopt(*option)
-            with trio.fail_after(self._connect_s):
+            with trio.fail_after(self._connect_timeout_s):
                 await sock.connect((host.strip("[]"), int(port)))
         except BaseException as exc:
-            self._count[address] -= 1
+            self._counts[address] -= 1
             if sock is not None:
                 sock.close()
             if isinstance(exc, ConnectionRefusedError):
@@ -279,10 +296,10 @@
         return Connection(address, Stream(sock), trio.current_time())
 
     async def _close(self, conn: Connection) -> None:
-        self._count[conn.address] -= 1
+        self._counts[conn.address] -= 1
         with trio.CancelScope(shield=True):
             await conn.aclose()
 
 
-def _seconds(timeout: float | None) -> float:
+def _timeout_s(timeout: float | None) -> float:
     return float("inf") if timeout is None else timeout
--- a/hyssopfold/entry/crash_checks.py
+++ b/hyssopfold/entry/crash_checks.py
@@ -46,7 +46,7 @@
 
     def __init__(
         self,
-        connection_pool: connections.Pool,
+        connection_pool: connections.ConnectionPool,
         recorder: CrashRecorder,
         meter: metrics.Metrics,
     ) -> None:
@@ -74,7 +74,7 @@
 
     async def _check(self, attempt: BrokenAttempt) -> None:
         server = attempt.server
-        if not await self._connections.refuses(server.address):
+        if not await self._connections.is_refused(server.address):
             return
         self._meter.crashes.inc({"pool": server.pool})
         logger.warning(
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -79,7 +79,7 @@
         self.config = self._configuration()
         self.spread.on_revision = self.config.record_revision
         self.place = self._placement()
-        self.connected = connections.Pool(
+        self.connected = connections.ConnectionPool(
             self._bound, cfg.proven_connection_s, cfg.connect_timeout_s
         )
         self.meter = metrics.Metrics(cfg.name)
@@ -183,10 +183,10 @@
             pacing.Pacer(cfg.region, self.config, self.known),
             self.servers,
             self.meter,
-            guards=proxy.Guards(self.claimed, self.crashes),
-            here=proxy.Here(cfg.region, self.known),
+            guards=proxy.RequestGuards(self.claimed, self.crashes),
+            context=proxy.EntryContext(cfg.region, self.known),
             rng=self.rng,
-            callers=proxy.Callers(
+            options=proxy.CallerOptions(
                 cfg.max_body_bytes,
                 adapters.headers,
                 cfg.retry_share,
--- a/hyssopfold/serving/__init__.py
+++ b/hyssopfold/serving/__init__.py
@@ -1,17 +1,18 @@
-"""HTTP connections of callers: limits, order of answers, planned stops.
+"""HTTP/1.1 connections of callers: limits, pipelining, planned stops.
 
-`limits` says what one caller may take, `listening` keeps the connections,
-`connection` reads the requests of one, `turns` answers each in its place.
+`limits` defines what callers may use, `listening` keeps the open connections,
+`connection` reads the requests of one of them, and `pipelined_request` passes
+each to the app and writes the answers in order.
 """
 
 from hyssopfold.serving import limits
 from hyssopfold.serving import listening
-from hyssopfold.serving import turns
+from hyssopfold.serving import pipelined_request
 
 CutAnswerError = limits.CutAnswerError
 Limits = limits.Limits
 Listener = listening.Listener
-Place = turns.Place
-PLACE = turns.PLACE
+PipelinePosition = pipelined_request.PipelinePosition
+PLACE = pipelined_request.PLACE
 
-__all__ = ["PLACE", "CutAnswerError", "Limits", "Listener", "Place"]
+__all__ = ["PLACE", "CutAnswerError", "Limits", "Listener", "PipelinePosition"]
--- a/tests/steps/entry/claims_steps.py
+++ b/tests/steps/entry/claims_steps.py
@@ -85,7 +85,7 @@
         return granted
 
     def announce_leaving(self, name):
-        instances = self.entries.known.instances
+        instances = self.entries.directory.instances
         record = instances.get(name)
         leaving = record._replace(state="leaving", sequence=record.sequence + 1)
         instances.update(name, leaving, 0.0)
--- a/tests/steps/entry/leaving_steps.py
+++ b/tests/steps/entry/leaving_steps.py
@@ -186,7 +186,7 @@
 def _(context):
     assert context.stop_state.cut_requests == 0, context.stop_state.cut_requests
     assert not _cut_events(context), context.recorder.events
-    assert not context.path.placement.held
+    assert not context.path.placement.acquired
 
 
 @then("the stopped entry cut {count:d} request and logged it")
