--- a/hyssopfold/application.py
+++ b/hyssopfold/application.py
@@ -49,14 +49,14 @@
 ) -> None:
     """Run a control instance until it is told to stop."""
     # Each daemon loads its own parts only: loading is most of a start.
-    from hyssopfold import control_parts
+    from hyssopfold import control_components
     from hyssopfold.control import adapters as control_adapters
     from hyssopfold.storage import folder
 
     _configure_logs(cfg)
     adapters = adapters or control_adapters.OUR_ADAPTERS
     with folder.DataFolder(cfg.data_folder) as data:
-        control = control_parts.Control(cfg, adapters, data)
+        control = control_components.ControlComponents(cfg, adapters, data)
         reloader = control.shared.reloader
         _follow_settings(cfg, source, reloader, control.spread.set_seeds)
         await _run_daemon(
@@ -93,17 +93,17 @@
 ) -> None:
     """Run an entry until it is told to stop and its requests are done."""
     # Each daemon loads its own parts only: loading is most of a start.
-    from hyssopfold import entry_parts
+    from hyssopfold import entry_components
     from hyssopfold.entry import adapters as entry_adapters
 
     output = _configure_logs(cfg)
     adapters = adapters or entry_adapters.OUR_ADAPTERS
-    entry = entry_parts.Entry(cfg, adapters, output)
+    entry = entry_components.EntryComponents(cfg, adapters, output)
     _follow_settings(cfg, source, entry.shared.reloader, entry.spread.set_seeds)
     listener = serving.Listener(
         entry.apps[cfg.http_address],
         cfg.limits,
-        entry.parts.forward.runs_beside,
+        entry.parts.proxy.runs_beside,
     )
     leave = entry.leave(listener)
     await _run_daemon(
--- a/hyssopfold/control/adapters.py
+++ b/hyssopfold/control/adapters.py
@@ -11,8 +11,8 @@
 from hyssopfold.transport import gossip
 
 
-class ControlParts(NamedTuple):
-    """What of a control instance can be called from outside."""
+class ControlInterfaces(NamedTuple):
+    """The components of a control instance that an adapter may call."""
 
     api: api.Api
     instance: instance.Instance
@@ -24,7 +24,9 @@
 class ControlAdapters(NamedTuple):
     """The application on a control instance's address."""
 
-    operators: Callable[[ControlParts], http.App] = lambda parts: parts.api
+    operators: Callable[[ControlInterfaces], http.App] = lambda interfaces: (
+        interfaces.api
+    )
 
 
 OUR_ADAPTERS = ControlAdapters()
--- a/hyssopfold/control_parts.py
+++ b/hyssopfold/control_components.py
@@ -1,4 +1,4 @@
-"""The parts of a control instance, wired."""
+"""Creates the components of a control instance and connects them."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -32,8 +32,8 @@
 Child = tuple[str, Callable[[], Awaitable[None]]]
 
 
-class Control:
-    """The parts of a control instance, wired.
+class ControlComponents:
+    """The components of a control instance, connected as its settings say.
 
     Args:
         cfg: Its settings.
@@ -110,8 +110,8 @@
         connect = functools.partial(rpc.Client, links=self.shared.links)
         return instance.Instance(register, kept, connect, cfg.edit_timeout_s)
 
-    def _outside(self) -> control_adapters.ControlParts:
-        return control_adapters.ControlParts(
+    def _outside(self) -> control_adapters.ControlInterfaces:
+        return control_adapters.ControlInterfaces(
             self.operators,
             self._member,
             self.operators.orders,
--- a/hyssopfold/entry/adapters.py
+++ b/hyssopfold/entry/adapters.py
@@ -14,21 +14,27 @@
 from hyssopfold.entry import proxy
 
 
-class EntryParts(NamedTuple):
-    """What of an entry can be called from outside."""
+class EntryInterfaces(NamedTuple):
+    """The components of an entry that an adapter may call."""
 
     app: app.App
-    forward: proxy.Proxy
-    look_up: lookups.Lookups
+    proxy: proxy.Proxy
+    lookups: lookups.Lookups
 
 
 class EntryAdapters(NamedTuple):
     """Applications on an entry's addresses, and the data path's headers."""
 
     headers: dialect.Dialect = dialect.OURS
-    callers: Callable[[EntryParts], http.App] = lambda parts: parts.app
-    lookups: Callable[[EntryParts], http.App] = lambda parts: parts.app
-    probes: Callable[[EntryParts], http.App] = lambda parts: parts.app
+    callers: Callable[[EntryInterfaces], http.App] = lambda interfaces: (
+        interfaces.app
+    )
+    lookups: Callable[[EntryInterfaces], http.App] = lambda interfaces: (
+        interfaces.app
+    )
+    probes: Callable[[EntryInterfaces], http.App] = lambda interfaces: (
+        interfaces.app
+    )
 
 
 OUR_ADAPTERS = EntryAdapters()
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_components.py
@@ -1,4 +1,4 @@
-"""The parts of an entry, wired."""
+"""Creates the components of an entry and connects them."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -49,8 +49,8 @@
 Child = tuple[str, Callable[[], Awaitable[None]]]
 
 
-class Entry:
-    """The parts of an entry, wired.
+class EntryComponents:
+    """The components of an entry, connected as its settings say.
 
     Args:
         cfg: Its settings.
@@ -166,7 +166,7 @@
 
     def _outside(
         self, adapters: entry_adapters.EntryAdapters
-    ) -> entry_adapters.EntryParts:
+    ) -> entry_adapters.EntryInterfaces:
         cfg = self.cfg
         look_up = lookups.Lookups(
             cfg.region,
@@ -207,7 +207,7 @@
             self.shared.announcers,
             self.output,
         )
-        return entry_adapters.EntryParts(app, forward, look_up)
+        return entry_adapters.EntryInterfaces(app, forward, look_up)
 
     def _apps(
         self, adapters: entry_adapters.EntryAdapters
@@ -237,7 +237,7 @@
             self._find_control()
             revision = config.snapshot.revision
             self.place.set_pools(config.snapshot.tables.pools)
-            load = float(self.parts.forward.in_flight)
+            load = float(self.parts.proxy.in_flight)
             spread.update_self(revision=revision, load=load)
             await trio.sleep(0.1)
 
--- a/tests/steps/imports_steps.py
+++ b/tests/steps/imports_steps.py
@@ -7,8 +7,11 @@
 from behave import when
 
 _MODULES = {
-    "entry": ("hyssopfold.cmd.entry", "hyssopfold.entry_parts"),
-    "control instance": ("hyssopfold.cmd.control", "hyssopfold.control_parts"),
+    "entry": ("hyssopfold.cmd.entry", "hyssopfold.entry_components"),
+    "control instance": (
+        "hyssopfold.cmd.control",
+        "hyssopfold.control_components",
+    ),
 }
 
 
@@ -25,6 +28,6 @@
 @then('none of them begins with "{foreign}"')
 def _(context, foreign):
     found = [name for name in context.loaded if name.startswith(foreign)]
-    # A daemon's own `hyssopfold.control_parts` is no part of `control`.
+    # A daemon's own `hyssopfold.control_components` is no part of `control`.
     found = [name for name in found if f"{name}.".startswith(f"{foreign}.")]
     assert not found, found
--- a/tests/support/local_entries.py
+++ b/tests/support/local_entries.py
@@ -5,7 +5,7 @@
 
 import trio
 
-from hyssopfold import entry_parts
+from hyssopfold import entry_components
 from hyssopfold import log_output
 from hyssopfold import settings
 from hyssopfold import state
@@ -60,7 +60,7 @@
     def _entry(self, number):
         text = SETTINGS.format(name=f"entry-{number}", port=7300 + number)
         cfg = settings.parse_entry(text, "test")
-        return entry_parts.Entry(
+        return entry_components.EntryComponents(
             cfg, adapters.OUR_ADAPTERS, log_output.BoundedHandler(1)
         )
 
--- a/tests/support/running_entries.py
+++ b/tests/support/running_entries.py
@@ -6,7 +6,7 @@
 import httpcore
 import trio
 
-from hyssopfold import entry_parts
+from hyssopfold import entry_components
 from hyssopfold import http
 from hyssopfold import log_output
 from hyssopfold import serving
@@ -70,7 +70,7 @@
             seeds=", ".join(f'"{seeds[one]}"' for one in seeds if one != name),
         )
         cfg = settings.parse_entry(text, "test")
-        return entry_parts.Entry(
+        return entry_components.EntryComponents(
             cfg, adapters.OUR_ADAPTERS, log_output.BoundedHandler(1)
         )
 
