--- a/hyssopfold/application.py
+++ b/hyssopfold/application.py
@@ -57,15 +57,17 @@
     adapters = adapters or control_adapters.OUR_ADAPTERS
     with folder.DataFolder(cfg.data_folder) as data:
         control = control_components.ControlComponents(cfg, adapters, data)
-        reloader = control.shared.reloader
-        _follow_settings(cfg, source, reloader, control.spread.set_seeds)
+        reloader = control.security.reloader
+        _follow_settings(
+            cfg, source, reloader, control.gossip_service.set_seeds
+        )
         await _run_daemon(
             cfg,
             control.apps,
             control.children(),
             control.rng,
             _stop_at_once,
-            control.shared,
+            control.security,
         )
 
 
@@ -99,11 +101,13 @@
     output = _configure_logs(cfg)
     adapters = adapters or entry_adapters.OUR_ADAPTERS
     entry = entry_components.EntryComponents(cfg, adapters, output)
-    _follow_settings(cfg, source, entry.shared.reloader, entry.spread.set_seeds)
+    _follow_settings(
+        cfg, source, entry.security.reloader, entry.gossip_service.set_seeds
+    )
     listener = serving.Listener(
         entry.apps[cfg.http_address],
         cfg.limits,
-        entry.parts.proxy.runs_beside,
+        entry.interfaces.proxy.runs_beside,
     )
     leave = entry.leave(listener)
     await _run_daemon(
@@ -112,10 +116,10 @@
         entry.children(),
         entry.rng,
         leave.run,
-        entry.shared,
+        entry.security,
         listener,
     )
-    await entry.servers.aclose()
+    await entry.upstream.aclose()
 
 
 class _Stop:
--- a/hyssopfold/control_components.py
+++ b/hyssopfold/control_components.py
@@ -49,8 +49,8 @@
     ) -> None:
         self.cfg = cfg
         self.rng = random.Random()
-        self.shared = security.load(cfg, self.rng)
-        links = self.shared.links
+        self.security = security.load(cfg, self.rng)
+        links = self.security.links
         self._member = self._open_member(data)
         self._confirmations = publisher.Confirmations(self._member.confirm)
         self._publisher = publisher.Publisher(
@@ -60,33 +60,42 @@
         )
         held = self._member.register
         self._publisher.publish(held.revision, held.value)
-        self.spread = gossip.Gossip(
+        self.gossip_service = gossip.Gossip(
             identity.myself(cfg, "control"),
             cfg.gossip_seeds,
             cfg.lease_s,
             links.keyring,
             self.rng,
         )
-        self._kept = quarantine_records.QuarantineRecords(data, time.time)
-        self._crashes = crash_reports.CrashReports(
-            self.spread, self.rng, self._kept.note, self._kept.load()
+        self._quarantine_records = quarantine_records.QuarantineRecords(
+            data, time.time
         )
-        self._votes = slot_votes.SlotVotes(
-            identity.member(self.spread.myself), data, self.spread
+        self._crash_reports = crash_reports.CrashReports(
+            self.gossip_service,
+            self.rng,
+            self._quarantine_records.note,
+            self._quarantine_records.load(),
+        )
+        self._slot_votes = slot_votes.SlotVotes(
+            identity.member(self.gossip_service.myself),
+            data,
+            self.gossip_service,
         )
         self._member.listeners += [
             self._publisher.publish,
-            lambda revision, _: self.spread.update_self(revision=revision),
+            lambda revision, _: self.gossip_service.update_self(
+                revision=revision
+            ),
         ]
         self.operators = api.Api(
             self._member,
-            self.spread,
+            self.gossip_service,
             metrics.Metrics(cfg.name),
-            self.shared.operators,
-            self.shared.announcers,
+            self.security.operators,
+            self.security.announcers,
         )
         self.apps: dict[str, http.App] = {
-            cfg.http_address: adapters.operators(self._outside())
+            cfg.http_address: adapters.operators(self._create_interfaces())
         }
         if cfg.metrics_address:
             self.apps[cfg.metrics_address] = self.operators
@@ -107,16 +116,18 @@
             0 if cfg.control else cfg.voters,
             cfg.region,
         )
-        connect = functools.partial(rpc.Client, links=self.shared.links)
+        connect = functools.partial(rpc.Client, links=self.security.links)
         return instance.Instance(register, kept, connect, cfg.edit_timeout_s)
 
-    def _outside(self) -> control_adapters.ControlInterfaces:
+    def _create_interfaces(self) -> control_adapters.ControlInterfaces:
         return control_adapters.ControlInterfaces(
             self.operators,
             self._member,
             self.operators.orders,
-            hearing.Hearing(self._member, self.spread, self._confirmations),
-            self.spread,
+            hearing.Hearing(
+                self._member, self.gossip_service, self._confirmations
+            ),
+            self.gossip_service,
         )
 
     def children(self) -> list[Child]:
@@ -126,16 +137,16 @@
             poll_wire.POLL: self._publisher.poll,
         }
         serve = functools.partial(
-            rpc.serve, self.cfg.rpc_address, handlers, self.shared.links
+            rpc.serve, self.cfg.rpc_address, handlers, self.security.links
         )
         return [
             ("member", self._member.run),
-            ("gossip", self.spread.run),
-            ("slot-votes", self._votes.run),
-            ("crash-reports", self._crashes.run),
-            ("quarantine-records", self._kept.run),
+            ("gossip", self.gossip_service.run),
+            ("slot-votes", self._slot_votes.run),
+            ("crash-reports", self._crash_reports.run),
+            ("quarantine-records", self._quarantine_records.run),
             ("confirmations", self._confirmations.run),
-            ("reloading", self.shared.reloader.run),
+            ("reloading", self.security.reloader.run),
             ("rpc", serve),
         ]
 
--- a/hyssopfold/entry_components.py
+++ b/hyssopfold/entry_components.py
@@ -53,9 +53,9 @@
     """The components of an entry, connected as its settings say.
 
     Args:
-        cfg: Its settings.
-        adapters: How it is spoken to.
-        output: Where its log goes.
+        cfg: Settings of the entry.
+        adapters: Applications on its addresses and headers of its data path.
+        output: Handler that writes the log and counts dropped lines.
     """
 
     def __init__(
@@ -67,52 +67,58 @@
         self.cfg = cfg
         self.output = output
         self.rng = random.Random()
-        self.shared = security.load(cfg, self.rng)
-        self.spread = gossip.Gossip(
+        self.security = security.load(cfg, self.rng)
+        self.gossip_service = gossip.Gossip(
             identity.myself(cfg, "entry"),
             cfg.gossip_seeds,
             cfg.lease_s,
-            self.shared.links.keyring,
+            self.security.links.keyring,
             self.rng,
         )
-        self.known = self.spread.directory
-        self.config = self._configuration()
-        self.spread.on_revision = self.config.hear
-        self.place = self._placement()
-        self.connected = connections.Pool(
-            self._bound, cfg.proven_connection_s, cfg.connect_timeout_s
+        self.directory = self.gossip_service.directory
+        self.config = self._create_configuration()
+        self.gossip_service.on_revision = self.config.hear
+        self.placement = self._create_placement()
+        self.connection_pool = connections.Pool(
+            self._connection_limit,
+            cfg.proven_connection_s,
+            cfg.connect_timeout_s,
         )
-        self.meter = metrics.Metrics(cfg.name)
-        self.crashes = crash_reports.CrashReports(
-            self.spread,
+        self.metrics = metrics.Metrics(cfg.name)
+        self.crash_reports = crash_reports.CrashReports(
+            self.gossip_service,
             self.rng,
-            lambda table: self.meter.quarantined.set({}, table.quarantined),
+            lambda table: self.metrics.quarantined.set({}, table.quarantined),
         )
-        self.checks = crash_checks.CrashChecks(
-            self.connected, self.crashes, self.meter
+        self.crash_checks = crash_checks.CrashChecks(
+            self.connection_pool, self.crash_reports, self.metrics
         )
-        self.servers = upstream.Upstream(self.connected, self.checks)
-        self.clients = blocks.Blocks(cfg.client_blocks)
-        self.steer = steering.Steering(
+        self.upstream = upstream.Upstream(
+            self.connection_pool, self.crash_checks
+        )
+        self.client_blocks = blocks.Blocks(cfg.client_blocks)
+        self.steering = steering.Steering(
             cfg.region,
             cfg.region_delays_ms,
             self.config,
-            self.known,
-            self.clients,
+            self.directory,
+            self.client_blocks,
+        )
+        self.adopt_shares = functools.partial(
+            adoption.adopt, self.gossip_service
         )
-        self.catch_up = functools.partial(adoption.adopt, self.spread)
-        self.claimed = claims.Claims(
-            lambda: self.spread.myself,
-            self.known,
-            rpc.Clients(self.shared.links),
+        self.claims = claims.Claims(
+            lambda: self.gossip_service.myself,
+            self.directory,
+            rpc.Clients(self.security.links),
             core_claims.ClaimTable(),
         )
-        self.parts = self._outside(adapters)
-        self.apps = self._apps(adapters)
+        self.interfaces = self._create_interfaces(adapters)
+        self.apps = self._create_apps(adapters)
 
-    def _configuration(self) -> configuration.Configuration:
-        cfg, links = self.cfg, self.shared.links
-        addresses = [one.rpc_address for one in cfg.control]
+    def _create_configuration(self) -> configuration.Configuration:
+        cfg, links = self.cfg, self.security.links
+        addresses = [member.rpc_address for member in cfg.control]
         return configuration.Configuration(
             cfg.name,
             [
@@ -125,7 +131,7 @@
             knows_all=bool(addresses),
         )
 
-    def _placement(
+    def _create_placement(
         self,
     ) -> "placement.Placement | local_placement.LocalPlacement":
         cfg = self.cfg
@@ -133,58 +139,60 @@
             chooser = local.Chooser(cfg.name, cfg.region)
             return local_placement.LocalPlacement(
                 chooser,
-                self.spread,
+                self.gossip_service,
                 self.rng,
                 lambda: self.config.snapshot.held.evacuated,
             )
-        # Only entries that grant slots to each other load what that takes.
+        # Imported here: only entries that grant slots to each other need them.
         from hyssopfold.core.balancing import node
         from hyssopfold.entry import placement
 
         return placement.Placement(
             node.Node(
                 node.Config(
-                    identity.member(self.spread.myself),
+                    identity.member(self.gossip_service.myself),
                     cfg.region,
                     cfg.failure_domain,
                     tuple(member.name for member in cfg.control),
                 ),
-                self.known,
+                self.directory,
                 self.rng,
                 trio.current_time(),
             ),
-            self.spread,
+            self.gossip_service,
         )
 
-    def _bound(self, server: messages.Server) -> int:
-        entries = len(self.known.ready_entries())
+    def _connection_limit(self, server: messages.Server) -> int:
+        entry_count = len(self.directory.ready_entries())
         pool = self.config.snapshot.tables.pool(server.pool)
-        most = server.connections
+        max_connections = server.connections
         if pool is not None:
-            most = min(most, pool.connections)
-        return subset.connections_per_entry(most, server.slots, entries)
+            max_connections = min(max_connections, pool.connections)
+        return subset.connections_per_entry(
+            max_connections, server.slots, entry_count
+        )
 
-    def _outside(
+    def _create_interfaces(
         self, adapters: entry_adapters.EntryAdapters
     ) -> entry_adapters.EntryInterfaces:
         cfg = self.cfg
-        look_up = lookups.Lookups(
+        entry_lookups = lookups.Lookups(
             cfg.region,
             cfg.region_delays_ms,
             cfg.lookup_ttl_s,
             self.config,
-            self.spread,
-            self.steer,
+            self.gossip_service,
+            self.steering,
         )
-        forward = proxy.Proxy(
+        entry_proxy = proxy.Proxy(
             self.config,
-            self.steer,
-            self.place,
-            pacing.Pacer(cfg.region, self.config, self.known),
-            self.servers,
-            self.meter,
-            guards=proxy.Guards(self.claimed, self.crashes),
-            here=proxy.Here(cfg.region, self.known),
+            self.steering,
+            self.placement,
+            pacing.Pacer(cfg.region, self.config, self.directory),
+            self.upstream,
+            self.metrics,
+            guards=proxy.Guards(self.claims, self.crash_reports),
+            here=proxy.Here(cfg.region, self.directory),
             rng=self.rng,
             callers=proxy.Callers(
                 cfg.max_body_bytes,
@@ -195,91 +203,102 @@
             ),
         )
         app = entry_app.App(
-            look_up,
+            entry_lookups,
             entry_status.Status(
-                self.config, self.spread, self.steer, self.place
+                self.config, self.gossip_service, self.steering, self.placement
             ),
             self.config,
-            self.spread,
-            forward,
-            self.place,
-            self.meter,
-            self.shared.announcers,
+            self.gossip_service,
+            entry_proxy,
+            self.placement,
+            self.metrics,
+            self.security.announcers,
             self.output,
         )
-        return entry_adapters.EntryInterfaces(app, forward, look_up)
+        return entry_adapters.EntryInterfaces(app, entry_proxy, entry_lookups)
 
-    def _apps(
+    def _create_apps(
         self, adapters: entry_adapters.EntryAdapters
     ) -> dict[str, http.App]:
-        """Return what is served, by address."""
+        """Return the applications to serve, by address."""
         cfg = self.cfg
-        apps = {cfg.http_address: adapters.callers(self.parts)}
+        apps = {cfg.http_address: adapters.callers(self.interfaces)}
         if cfg.lookup_address:
-            apps[cfg.lookup_address] = adapters.lookups(self.parts)
+            apps[cfg.lookup_address] = adapters.lookups(self.interfaces)
         if cfg.probe_address:
-            apps[cfg.probe_address] = adapters.probes(self.parts)
+            apps[cfg.probe_address] = adapters.probes(self.interfaces)
         if cfg.metrics_address:
-            apps[cfg.metrics_address] = self.parts.app
+            apps[cfg.metrics_address] = self.interfaces.app
         return apps
 
-    async def keep_state(self) -> None:
-        """Become ready, then follow the tables and who is there."""
-        config, spread = self.config, self.spread
-        while config.snapshot.revision == 0 or not spread.ready:
-            self._find_control()
+    async def maintain_state(self) -> None:
+        """Become ready, then keep pools and this entry's record up to date.
+
+        The entry is ready once it has tables and its directory is filled by
+        gossip.
+        """
+        config, gossip_service = self.config, self.gossip_service
+        while config.snapshot.revision == 0 or not gossip_service.ready:
+            self._update_control_addresses()
             await trio.sleep(0.05)
-        self.steer.step(trio.current_time(), time.time())
-        await self.catch_up(self.steer.shares)
-        if spread.myself.state == "starting":
-            spread.update_self(state="ready")
+        self.steering.step(trio.current_time(), time.time())
+        await self.adopt_shares(self.steering.shares)
+        if gossip_service.myself.state == "starting":
+            gossip_service.update_self(state="ready")
         while True:
-            self._find_control()
+            self._update_control_addresses()
             revision = config.snapshot.revision
-            self.place.set_pools(config.snapshot.tables.pools)
-            load = float(self.parts.proxy.in_flight)
-            spread.update_self(revision=revision, load=load)
+            self.placement.set_pools(config.snapshot.tables.pools)
+            load = float(self.interfaces.proxy.in_flight)
+            gossip_service.update_self(revision=revision, load=load)
             await trio.sleep(0.1)
 
-    def _find_control(self) -> None:
-        """Follow which control instances there are, unless they are listed."""
+    def _update_control_addresses(self) -> None:
+        """Use the directory's control instances unless settings list them."""
         if self.cfg.control:
             return
-        found = [
-            one.rpc_address
-            for one in self.known.instances.words()
-            if one.role == "control" and one.rpc_address
+        addresses = [
+            record.rpc_address
+            for record in self.directory.instances.words()
+            if record.role == "control" and record.rpc_address
         ]
-        self.config.set_control(found)
+        self.config.set_control(addresses)
 
     def children(self) -> list[Child]:
-        """Return the tasks of the entry."""
+        """Return the names and tasks of the entry to supervise."""
         children: list[Child] = [
             ("configuration", self.config.run),
-            ("gossip", self.spread.run),
-            ("steering", functools.partial(self.steer.run, self.catch_up)),
-            ("placement", self.place.run),
-            ("client-blocks", self.clients.run),
-            ("state", self.keep_state),
-            ("reloading", self.shared.reloader.run),
-            ("connections", self.connected.sweep),
-            ("crash-checks", self.checks.run),
-            ("crash-reports", self.crashes.run),
-            ("claims", self.claimed.run),
+            ("gossip", self.gossip_service.run),
+            (
+                "steering",
+                functools.partial(self.steering.run, self.adopt_shares),
+            ),
+            ("placement", self.placement.run),
+            ("client-blocks", self.client_blocks.run),
+            ("state", self.maintain_state),
+            ("reloading", self.security.reloader.run),
+            ("connections", self.connection_pool.sweep),
+            ("crash-checks", self.crash_checks.run),
+            ("crash-reports", self.crash_reports.run),
+            ("claims", self.claims.run),
         ]
         if self.cfg.rpc_address:
             handlers: dict[rpc.Method, rpc.Handler] = {
                 poll_wire.POLL: self.config.publisher.poll,
-                **self.claimed.handlers(),
+                **self.claims.handlers(),
             }
             serve = functools.partial(
-                rpc.serve, self.cfg.rpc_address, handlers, self.shared.links
+                rpc.serve, self.cfg.rpc_address, handlers, self.security.links
             )
             children.append(("rpc", serve))
         return children
 
     def leave(self, listener: serving.Listener) -> leaving.Leave:
-        """Return the steps of a planned stop."""
+        """Return the planned stop of this entry.
+
+        Args:
+            listener: Connections of callers.
+        """
         return leaving.Leave(
             core_stop.Stop(
                 self.cfg.lookup_ttl_s,
@@ -288,7 +307,7 @@
                 self.cfg.stop_serve_s,
             ),
             listener,
-            self.spread,
-            self.place.leave,
-            self.claimed.hand_over,
+            self.gossip_service,
+            self.placement.leave,
+            self.claims.hand_over,
         )
--- a/tests/support/local_entries.py
+++ b/tests/support/local_entries.py
@@ -67,11 +67,13 @@
     def _introduce(self):
         records = [
             record._replace(state="ready", sequence=record.sequence + 1)
-            for record in (entry.spread.myself for entry in self.entries)
+            for record in (
+                entry.gossip_service.myself for entry in self.entries
+            )
         ]
         for entry in self.entries:
             for record in records:
-                entry.known.instances.update(record.name, record, 0.0)
+                entry.directory.instances.update(record.name, record, 0.0)
 
     def _add_server(self, number):
         record = membership.Server(
@@ -79,7 +81,7 @@
             DOMAINS[number % len(DOMAINS)], 9, 390, "ready", 1, 1, 0.0,
         )  # fmt: skip
         for entry in self.entries:
-            entry.known.servers.update(record.server_id, record, 1e9)
+            entry.directory.servers.update(record.server_id, record, 1e9)
 
     def install(self, evacuated):
         """Put a revision in force at all entries."""
@@ -103,7 +105,7 @@
             1e9, (), f"pay {self._rng.randrange(_OBJECTS)}", 0.25, "pay",
         )  # fmt: skip
         pool = entry.config.snapshot.tables.pool("ledger")
-        grant = await entry.place.acquire(req, pool)
+        grant = await entry.placement.acquire(req, pool)
         if isinstance(grant, messages.Refused):
             self.refused += 1
             return
@@ -114,6 +116,6 @@
     def _end_requests(self):
         while self._running and self._running[0][0] <= trio.current_time():
             _, entry, grant = self._running.popleft()
-            entry.place.release(
+            entry.placement.release(
                 grant, messages.AttemptResult("answered", _RUN_S)
             )
--- a/tests/support/running_entries.py
+++ b/tests/support/running_entries.py
@@ -92,8 +92,8 @@
     def start(self, entry, nursery):
         """Start an entry with the tables in force."""
         entry.config.install(1, state.encode(state.State(tables.parse(TABLES))))
-        entry.steer.step(trio.current_time(), time.time())
-        entry.spread.update_self(state="ready")
+        entry.steering.step(trio.current_time(), time.time())
+        entry.gossip_service.update_self(state="ready")
         for name, child in entry.children():
             if name not in _LEFT_OUT:
                 nursery.start_soon(child)
@@ -109,8 +109,8 @@
     async def _meet(self):
         with trio.fail_after(_MEET_S):
             while any(
-                len(one.known.ready_entries()) < len(self.entries)
-                or len(one.known.ready_servers("ledger")) < self._servers
+                len(one.directory.ready_entries()) < len(self.entries)
+                or len(one.directory.ready_servers("ledger")) < self._servers
                 for one in self.entries.values()
             ):
                 await trio.sleep(0.05)
@@ -138,8 +138,8 @@
     def _tell(self, word):
         now = trio.current_time()
         for entry in self.entries.values():
-            entry.known.servers.update(word.server_id, word, now)
-            entry.known.servers.renew(word.server_id, now, _LEASE_S)
+            entry.directory.servers.update(word.server_id, word, now)
+            entry.directory.servers.renew(word.server_id, now, _LEASE_S)
 
     async def ask(self, name, method, fault=""):
         """Send a request to an entry; return the answer."""
