--- a/hyssopfold/application.py
+++ b/hyssopfold/application.py
@@ -84,7 +84,7 @@
         "gossip_seeds": set_seeds,
         "log_level": logs.set_level,
     }
-    live = settings_source.Live(cfg, source, uses)
+    live = settings_source.SettingsReloader(cfg, source, uses)
     reloader.watch((source.path,), live.reload)
 
 
@@ -174,7 +174,7 @@
             nursery.start_soon(supervisor.supervise, name, child, rng)
         listener = listener or serving.Listener(app, serving.Limits())
         nursery.start_soon(
-            _wait_for_stop, cfg, leave, listener, stop, shared.reloader.look
+            _wait_for_stop, cfg, leave, listener, stop, shared.reloader.check
         )
         for address, other in apps.items():
             if address != cfg.http_address:
--- a/hyssopfold/certificates.py
+++ b/hyssopfold/certificates.py
@@ -19,7 +19,7 @@
     issuers: str = ""
 
 
-class Server:
+class ServerContext:
     """The serving side of TLS; new connections get the newest certificate.
 
     Args:
@@ -47,7 +47,7 @@
         _load(self.context, self.files)
 
 
-class Client:
+class ClientContext:
     """The connecting side of mutual TLS between our processes."""
 
     def __init__(self, files: Files) -> None:
@@ -57,11 +57,11 @@
         self.reload()
 
     def reload(self) -> None:
-        """Read the files again, as `Server.reload`."""
+        """Read the files again, as `ServerContext.reload`."""
         _load(self.context, self.files)
 
 
-class Stream:
+class TlsStream:
     """A TLS connection with what serving needs of a plain one.
 
     Args:
@@ -93,7 +93,7 @@
         await self._tls.aclose()
 
 
-class Listener(trio.abc.Listener[Any]):
+class TlsListener(trio.abc.Listener[Any]):
     """Accept TLS connections.
 
     Args:
@@ -101,13 +101,15 @@
         server: The certificate to show.
     """
 
-    def __init__(self, plain: trio.SocketListener, server: Server) -> None:
+    def __init__(
+        self, plain: trio.SocketListener, server: ServerContext
+    ) -> None:
         self._plain = plain
         self._server = server
 
-    async def accept(self) -> Stream:
+    async def accept(self) -> TlsStream:
         """Return the next connection; its handshake comes with its bytes."""
-        return Stream(await self._plain.accept(), self._server.context)
+        return TlsStream(await self._plain.accept(), self._server.context)
 
     async def aclose(self) -> None:
         """Accept no more."""
--- a/hyssopfold/cmd/explain.py
+++ b/hyssopfold/cmd/explain.py
@@ -29,7 +29,7 @@
     for text in texts:
         if request_id not in text:
             continue
-        fields = logs.read(text)
+        fields = logs.parse_line(text)
         if fields.get("request") == request_id:
             found.append(Line(fields.get("time", ""), fields, text.rstrip()))
     return sorted(found, key=lambda line: line.time)
--- a/hyssopfold/cmd/losses.py
+++ b/hyssopfold/cmd/losses.py
@@ -91,7 +91,7 @@
     if "request=" not in text:
         return {}
     try:
-        return logs.read(text)
+        return logs.parse_line(text)
     except ValueError:
         # A torn line; its request counts as far as its other lines tell.
         return {}
--- a/hyssopfold/control_components.py
+++ b/hyssopfold/control_components.py
@@ -61,7 +61,7 @@
         held = self._member.register
         self._publisher.publish(held.revision, held.value)
         self.gossip_service = gossip.Gossip(
-            identity.myself(cfg, "control"),
+            identity.initial_record(cfg, "control"),
             cfg.gossip_seeds,
             cfg.lease_s,
             links.keyring,
--- a/hyssopfold/entry_components.py
+++ b/hyssopfold/entry_components.py
@@ -69,7 +69,7 @@
         self.rng = random.Random()
         self.security = security.load(cfg, self.rng)
         self.gossip_service = gossip.Gossip(
-            identity.myself(cfg, "entry"),
+            identity.initial_record(cfg, "entry"),
             cfg.gossip_seeds,
             cfg.lease_s,
             self.security.links.keyring,
--- a/hyssopfold/http.py
+++ b/hyssopfold/http.py
@@ -138,7 +138,7 @@
     grace_s: float | Callable[[], float],
     listener: serving.Listener | None = None,
     task_status: trio.TaskStatus[Any] = trio.TASK_STATUS_IGNORED,
-    tls: certificates.Server | None = None,
+    tls: certificates.ServerContext | None = None,
 ) -> None:
     """Serve `app` on `address` until `stop` is set.
 
@@ -159,7 +159,7 @@
     sockets = await listen(address)
     open_listeners: list[trio.abc.Listener[Any]] = [*sockets]
     if tls is not None:
-        open_listeners = [certificates.Listener(one, tls) for one in sockets]
+        open_listeners = [certificates.TlsListener(one, tls) for one in sockets]
     async with trio.open_nursery() as nursery:
         nursery.start_soon(listener.sweep)
         async with trio.open_nursery() as accepting:
--- a/hyssopfold/identity.py
+++ b/hyssopfold/identity.py
@@ -12,7 +12,7 @@
     return time.time_ns() // 1_000_000
 
 
-def myself(
+def initial_record(
     cfg: settings.ControlSettings | settings.EntrySettings,
     role: messages.Role,
 ) -> messages.Instance:
--- a/hyssopfold/logs.py
+++ b/hyssopfold/logs.py
@@ -25,7 +25,7 @@
     return json.dumps(text)
 
 
-def read(line: str) -> dict[str, str]:
+def parse_line(line: str) -> dict[str, str]:
     """Return the fields of a line that `KeyValueFormatter` wrote.
 
     Args:
--- a/hyssopfold/reloading.py
+++ b/hyssopfold/reloading.py
@@ -42,9 +42,9 @@
         """Look at the files each period."""
         while True:
             await trio.sleep(self._period_s)
-            self.look()
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Look at the files once.
 
         A file that cannot be used, half written perhaps, leaves what was
--- a/hyssopfold/security.py
+++ b/hyssopfold/security.py
@@ -39,7 +39,7 @@
     links: rpc.Links
     operators: access.Guard
     announcers: access.Guard
-    tls: certificates.Server | None
+    tls: certificates.ServerContext | None
     reloader: reloading.Reloader
 
 
@@ -60,7 +60,7 @@
     tls = None
     if cfg.tls_certificate_file:
         files = certificates.Files(cfg.tls_certificate_file, cfg.tls_key_file)
-        tls = certificates.Server(files)
+        tls = certificates.ServerContext(files)
         reloader.watch(files[:2], tls.reload)
     return Security(links, operators, announcers, tls, reloader)
 
@@ -132,7 +132,10 @@
         cfg.peer_certificate_key_file,
         cfg.peer_issuers_file,
     )
-    server, client = certificates.Server(files), certificates.Client(files)
+    server, client = (
+        certificates.ServerContext(files),
+        certificates.ClientContext(files),
+    )
     reloader.watch(tuple(files), server.reload)
     reloader.watch(tuple(files), client.reload)
     return links._replace(server_tls=server.context, client_tls=client.context)
--- a/hyssopfold/settings_source.py
+++ b/hyssopfold/settings_source.py
@@ -20,7 +20,7 @@
     load: Callable[[], Any]
 
 
-class Live:
+class SettingsReloader:
     """Put settings in force that may change while a process runs.
 
     Args:
--- a/tests/steps/request_log_steps.py
+++ b/tests/steps/request_log_steps.py
@@ -201,7 +201,7 @@
     lines = context.got.decode().splitlines()
     assert len(lines) > 100
     for line in lines[:-1]:
-        assert logs.read(line).get("event") in ("step", "message"), line
+        assert logs.parse_line(line).get("event") in ("step", "message"), line
 
 
 @given("log lines of a request that was {how}")
--- a/tests/steps/security_steps.py
+++ b/tests/steps/security_steps.py
@@ -175,7 +175,7 @@
             other = context.path.with_suffix(".new")
             other.write_text(text)
             os.replace(other, context.path)
-        context.reloader.look()
+        context.reloader.check()
         context.seen.append(
             [
                 _passes(context.guard, f"the-{name}-token-of-ours")
@@ -286,7 +286,7 @@
 
 @given("a link server with a certificate that asks for one")
 def _(context):
-    context.tls = certificates.Server(_files("one")).context
+    context.tls = certificates.ServerContext(_files("one")).context
 
 
 @when("peers with a certificate of ours, a stranger's and none call it")
@@ -295,8 +295,8 @@
     address = loopback.free_address()
     bare = ssl.create_default_context(cafile=str(KEYS / "ca.pem"))
     contexts = [
-        certificates.Client(_files("two")).context,
-        certificates.Client(_files("stranger")).context,
+        certificates.ClientContext(_files("two")).context,
+        certificates.ClientContext(_files("stranger")).context,
         bare,
         None,
     ]
