--- a/hyssopfold/standin/__init__.py
+++ b/hyssopfold/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in backend server and caller for demo and tests."""
+"""Stand-in backend server and caller, for the demo and for tests."""
--- a/hyssopfold/standin/caller.py
+++ b/hyssopfold/standin/caller.py
@@ -1,4 +1,8 @@
-"""Stand-in caller: looks entries up, sends, fails over, resends, keeps books."""
+"""Stand-in caller of the system, for the demo and for tests.
+
+It looks entries up, sends requests, tries the next entry when one fails,
+resends, and records the outcome of each request.
+"""
 
 from collections import Counter
 from collections.abc import AsyncIterator
@@ -15,18 +19,18 @@
 
 MAX_SENDS = 4
 MAX_WAIT_S = 2.0
-# A caller in a trial has less patience than retry-after asks for.
-WAIT_SHARE = 0.05
-_PART = b"\0" * 65_536
-_LOST = (
+# Share of a retry-after time that the stand-in waits, to keep tests short.
+RETRY_WAIT_SHARE = 0.05
+_BODY_PART = b"\0" * 65_536
+_CONNECTION_ERRORS = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
     httpcore.TimeoutException,
 )
 
 
-class LookedUp(NamedTuple):
-    """The entry that a look-up named best, and how long it may be cached."""
+class LookupResult(NamedTuple):
+    """Best entry of a look-up; it may be cached for `ttl_s` seconds."""
 
     address: str
     region: str
@@ -34,8 +38,8 @@
     revision: int
 
 
-class Outcome(NamedTuple):
-    """What a request came to."""
+class Answer(NamedTuple):
+    """An answer to one request and the seconds until it was complete."""
 
     status: int
     body: bytes
@@ -43,76 +47,89 @@
     seconds: float
 
 
-class Told(enum.Enum):
-    """What a caller knows of its request in the end."""
+class RequestOutcome(enum.Enum):
+    """What a caller knows of its request after the last attempt."""
 
     ANSWERED = "answered"
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
 
 
-class Books:
-    """What callers were told, to be held against the servers' ledgers.
+class OutcomeLedger:
+    """Outcomes that callers saw, for comparison with the servers' ledgers.
 
-    `told` is by key; `crossed` lists answers to other requests; `cut` counts
-    answers that ended early.
+    `outcomes` is by idempotency key; `crossed` lists the keys of requests that
+    got the answer to another request; `cut` counts answers that ended early,
+    by error; `sends` counts attempts.
     """
 
     def __init__(self) -> None:
-        self.told: dict[str, Told] = {}
+        self.outcomes: dict[str, RequestOutcome] = {}
         self.crossed: list[str] = []
         self.cut: Counter[str] = Counter()
         self.sends = 0
 
-    def faults(self, ran: Counter[str], once: set[str]) -> list[str]:
-        """Return what the ledgers say against the books.
+    def find_violations(
+        self, run_counts: Counter[str], run_once_keys: set[str]
+    ) -> list[str]:
+        """Return where the servers' ledgers contradict the callers' outcomes.
 
         Args:
-            ran: How often each key ran, over all servers.
-            once: Keys that may run at most once.
+            run_counts: How often each key ran, over all servers.
+            run_once_keys: Keys of requests that may run at most once.
+
+        Returns:
+            A sentence for each contradiction; empty when there is none.
         """
-        found = [f"answer of {key} was another's" for key in self.crossed]
-        for key, told in self.told.items():
-            times = ran[key]
-            if key in once and times > 1:
-                found.append(f"{key} ran {times} times")
-            if told is Told.NOT_RUN and times:
-                found.append(f"{key} ran, told not-run")
-            if told is Told.ANSWERED and not times:
-                found.append(f"{key} never ran, told answered")
-        return found
+        violations = [
+            f"answer to {key} belongs to another request"
+            for key in self.crossed
+        ]
+        for key, outcome in self.outcomes.items():
+            count = run_counts[key]
+            if key in run_once_keys and count > 1:
+                violations.append(f"{key} ran {count} times")
+            if outcome is RequestOutcome.NOT_RUN and count:
+                violations.append(f"{key} ran, but its outcome is not-run")
+            if outcome is RequestOutcome.ANSWERED and not count:
+                violations.append(f"{key} never ran, but was answered")
+        return violations
 
 
 class Caller:
-    """Call as a user's program would.
+    """Calls as a caller's program does: look-up, requests, resends.
 
     Args:
-        host: Host to ask for.
-        client: Address of the client, for the look-up.
-        books: Where to note what was told.
+        host: Host name of the requests.
+        client: IP address of the client, for the look-up.
+        ledger: Records the outcome of each request; made here when left out.
     """
 
     def __init__(
         self,
         host: str,
         client: str = "127.0.0.1",
-        books: Books | None = None,
+        ledger: OutcomeLedger | None = None,
     ) -> None:
         self._host = host
         self._client = client
         self._pool = httpcore.AsyncConnectionPool()
-        self._known: list[str] = []
-        self._known_until = -float("inf")
-        self.books = books or Books()
-
-    async def look_up(self, entry: str, path: str) -> LookedUp:
-        """Return the best entry for `path`, asking any entry."""
-        found = await self._look_up(entry, path)
-        if not found["entries"]:
+        self._entry_addresses: list[str] = []
+        self._entries_expire_at = -float("inf")
+        self.ledger = ledger or OutcomeLedger()
+
+    async def look_up(self, entry: str, path: str) -> LookupResult:
+        """Return the best entry for `path`, by a look-up at `entry`.
+
+        Raises:
+            PeerUnavailableError: when the look-up returns no entry.
+        """
+        body = await self._look_up(entry, path)
+        if not body["entries"]:
             raise errors.PeerUnavailableError(entry, "it names no entries")
-        best = found["entries"][0]
-        return LookedUp(
-            best["address"], best["region"], found["ttl_s"], found["revision"]
+        best = body["entries"][0]
+        return LookupResult(
+            best["address"], best["region"], body["ttl_s"], body["revision"]
         )
 
     async def _look_up(self, entry: str, path: str) -> dict:  # type: ignore[type-arg]
@@ -121,23 +138,25 @@
             f"?host={self._host}&path={path}&client={self._client}"
         )
         answer = await self._pool.request("GET", url)
-        found: dict = msgspec.json.decode(answer.content)  # type: ignore[type-arg]
-        return found
+        body: dict = msgspec.json.decode(answer.content)  # type: ignore[type-arg]
+        return body
 
     async def _entries(self, seeds: list[str], path: str) -> list[str]:
-        """Return the entries to use, from a look-up no older than its ttl."""
-        if trio.current_time() < self._known_until:
-            return self._known
-        for entry in [*self._known, *seeds]:
+        """Return the addresses of entries; look up again after the TTL."""
+        if trio.current_time() < self._entries_expire_at:
+            return self._entry_addresses
+        for entry in [*self._entry_addresses, *seeds]:
             try:
-                found = await self._look_up(entry, path)
-            except _LOST:
+                body = await self._look_up(entry, path)
+            except _CONNECTION_ERRORS:
                 continue
-            if found["entries"]:
-                self._known = [one["address"] for one in found["entries"]]
-                self._known_until = trio.current_time() + found["ttl_s"]
+            if body["entries"]:
+                self._entry_addresses = [
+                    item["address"] for item in body["entries"]
+                ]
+                self._entries_expire_at = trio.current_time() + body["ttl_s"]
                 break
-        return self._known
+        return self._entry_addresses
 
     async def send(
         self,
@@ -145,85 +164,107 @@
         method: str,
         path: str,
         size: int = 0,
-        extra: tuple[tuple[str, str], ...] = (),
-    ) -> Outcome:
-        """Send a request with `size` bytes of body through `entry`."""
-        headers = [("host", self._host), *extra]
+        extra_headers: tuple[tuple[str, str], ...] = (),
+    ) -> Answer:
+        """Send a request through `entry` and return the answer.
+
+        Args:
+            entry: IP number and port of the entry.
+            method: HTTP method.
+            path: Path and query.
+            size: Bytes of body to send.
+            extra_headers: Headers besides host and content-length.
+        """
+        headers = [("host", self._host), *extra_headers]
         if size:
             headers.append(("content-length", str(size)))
-        began = time.perf_counter()
+        start = time.perf_counter()
         answer = await self._pool.request(
             method,
             f"http://{entry}{path}",
             headers=headers,
-            content=_parts(size) if size else None,
+            content=_body_parts(size) if size else None,
         )
-        took = time.perf_counter() - began
-        named = {
+        duration_s = time.perf_counter() - start
+        headers_by_name = {
             key.decode().lower(): value.decode("latin-1")
             for key, value in answer.headers
         }
-        return Outcome(answer.status, answer.content, named, took)
+        return Answer(
+            answer.status, answer.content, headers_by_name, duration_s
+        )
 
-    async def ask(
+    async def send_with_retries(
         self, seeds: list[str], method: str, path: str, size: int = 0
-    ) -> Told:
-        """Send a request until its fate is known, as a careful program does.
+    ) -> RequestOutcome:
+        """Send a request until it is answered, `MAX_SENDS` times at most.
+
+        Each attempt goes to the next entry, with the same idempotency key. The
+        outcome is recorded in the ledger.
 
-        The next entry is tried when one can't be reached, the same key goes
-        with each resend, and the books get what is known in the end.
+        Args:
+            seeds: Addresses of entries to ask for a look-up.
+            method: HTTP method.
+            path: Path of the request; the key is added as its query.
+            size: Bytes of body to send.
         """
         key = uuid.uuid4().hex
         target = f"{path}?{key}"
-        extra = (("idempotency-key", key),)
-        told = Told.NOT_RUN
-        for number in range(MAX_SENDS):
+        extra_headers = (("idempotency-key", key),)
+        outcome = RequestOutcome.NOT_RUN
+        for attempt in range(MAX_SENDS):
             entries = await self._entries(seeds, path)
             if not entries:
                 await trio.sleep(0.05)
                 continue
-            entry = entries[number % len(entries)]
-            self.books.sends += 1
+            entry = entries[attempt % len(entries)]
+            self.ledger.sends += 1
             try:
-                outcome = await self.send(entry, method, target, size, extra)
+                answer = await self.send(
+                    entry, method, target, size, extra_headers
+                )
             except httpcore.ConnectError:
-                self._known_until = -float("inf")
+                self._entries_expire_at = -float("inf")
                 continue
-            except _LOST as exc:
-                self.books.cut[type(exc).__name__] += 1
-                told = Told.UNKNOWN
+            except _CONNECTION_ERRORS as exc:
+                self.ledger.cut[type(exc).__name__] += 1
+                outcome = RequestOutcome.UNKNOWN
                 continue
-            told = self._judge(key, target, outcome, told)
-            if told is Told.ANSWERED:
+            outcome = self._judge(key, target, answer, outcome)
+            if outcome is RequestOutcome.ANSWERED:
                 break
-            await trio.sleep(_wait_s(outcome))
-        self.books.told[key] = told
-        return told
+            await trio.sleep(_wait_s(answer))
+        self.ledger.outcomes[key] = outcome
+        return outcome
 
     def _judge(
-        self, key: str, target: str, outcome: Outcome, before: Told
-    ) -> Told:
-        if outcome.status == 200:
-            body = msgspec.json.decode(outcome.body)
+        self, key: str, target: str, answer: Answer, previous: RequestOutcome
+    ) -> RequestOutcome:
+        """Return the request's outcome after an answer to one attempt.
+
+        An attempt that did not run leaves the outcome of those before it.
+        """
+        if answer.status == 200:
+            body = msgspec.json.decode(answer.body)
             if body["path"] != target:
-                self.books.crossed.append(key)
-            return Told.ANSWERED
-        if outcome.headers.get("hyssop-outcome") == "not-run":
-            return before
-        return Told.UNKNOWN
+                self.ledger.crossed.append(key)
+            return RequestOutcome.ANSWERED
+        if answer.headers.get("hyssop-outcome") == "not-run":
+            return previous
+        return RequestOutcome.UNKNOWN
 
     async def aclose(self) -> None:
         """Close all connections."""
         await self._pool.aclose()
 
 
-def _wait_s(outcome: Outcome) -> float:
-    given = float(outcome.headers.get("retry-after", "0"))
-    return min(given, MAX_WAIT_S) * WAIT_SHARE
+def _wait_s(answer: Answer) -> float:
+    retry_after_s = float(answer.headers.get("retry-after", "0"))
+    return min(retry_after_s, MAX_WAIT_S) * RETRY_WAIT_SHARE
 
 
-async def _parts(size: int) -> AsyncIterator[bytes]:
+async def _body_parts(size: int) -> AsyncIterator[bytes]:
     while size > 0:
-        part = _PART[:size]
+        part = _BODY_PART[:size]
         size -= len(part)
         yield part
--- a/hyssopfold/standin/server.py
+++ b/hyssopfold/standin/server.py
@@ -83,11 +83,11 @@
         self._rng = random.Random(options.seed)
         self.ledger: Counter[str] = Counter()
         self.keys: Counter[str] = Counter()
-        self.posted: set[str] = set()
+        self.post_keys: set[str] = set()
         self.refused: Counter[str] = Counter()
         self.cancelled: Counter[str] = Counter()
-        self.most_running = 0
-        self.open: set[wire.Connection] = set()
+        self.max_running = 0
+        self.open_connections: set[wire.Connection] = set()
         self.has_crashed = False
         # Ends serving at once; set while it serves.
         self._crash: Callable[[], None] = _not_serving
@@ -115,7 +115,7 @@
 
     async def _serve_stream(self, stream: trio.SocketStream) -> None:
         conn = wire.Connection(stream, self._options.idle_s)
-        self.open.add(conn)
+        self.open_connections.add(conn)
         try:
             while await self._serve_one(conn):
                 pass
@@ -124,7 +124,7 @@
         except wire.PeerGoneError:
             pass
         finally:
-            self.open.discard(conn)
+            self.open_connections.discard(conn)
             await conn.aclose()
 
     async def _serve_one(self, conn: wire.Connection) -> bool:
@@ -165,9 +165,9 @@
         encoded = msgspec.json.encode(body)
         wanted = int(req.headers.get(ANSWER_BYTES_HEADER, b"0"))
         if wanted:
-            return await conn.answer_long(wanted, echo)
+            return await conn.answer_chunked(wanted, echo)
         if fault:
-            return await wire.answer_badly(conn, fault, encoded, echo)
+            return await wire.send_faulty_answer(conn, fault, encoded, echo)
         return await conn.answer(200, encoded, (echo,))
 
     def _fault(self, req: wire.Request) -> str:
@@ -193,7 +193,7 @@
             await conn.read_body()
             self.refused[req.request_id] += 1
             return await conn.answer(503, b"", (echo, _NOT_RUN))
-        return await wire.refuse_badly(conn, fault, echo)
+        return await wire.send_faulty_refusal(conn, fault, echo)
 
     async def _run(
         self, conn: wire.Connection, req: wire.Request, fault: str
@@ -203,11 +203,11 @@
         if req.key:
             self.keys[req.key] += 1
             if req.method == "POST":
-                self.posted.add(req.key)
+                self.post_keys.add(req.key)
         self._running += 1
-        self.most_running = max(self.most_running, self._running)
+        self.max_running = max(self.max_running, self._running)
         try:
-            await conn.sleep_while_wanted(self._service_s(fault))
+            await conn.sleep_while_connected(self._service_s(fault))
         except wire.PeerGoneError:
             self.cancelled[req.request_id] += 1
             raise
--- a/hyssopfold/standin/wire.py
+++ b/hyssopfold/standin/wire.py
@@ -133,7 +133,7 @@
         if data:
             await self.stream.send_all(data)
 
-    async def sleep_while_wanted(self, seconds: float) -> None:
+    async def sleep_while_connected(self, seconds: float) -> None:
         """Pass time as work does, but stop when the other end closes.
 
         Raises:
@@ -162,7 +162,7 @@
         await self.send(h11.EndOfMessage())
         return self._http.our_state is h11.DONE
 
-    async def answer_long(self, size: int, echo: Header) -> bool:
+    async def answer_chunked(self, size: int, echo: Header) -> bool:
         """Answer with `size` bytes in chunks; count them in `sent`."""
         coding = (b"transfer-encoding", b"chunked")
         await self.send(h11.Response(status_code=200, headers=[echo, coding]))
@@ -184,7 +184,9 @@
         await trio.aclose_forcefully(self.stream)
 
 
-async def refuse_badly(conn: Connection, fault: str, echo: Header) -> bool:
+async def send_faulty_refusal(
+    conn: Connection, fault: str, echo: Header
+) -> bool:
     """Fail a request that is not run; return whether another may follow."""
     not_run = (b"hyssop-outcome", b"not-run")
     match fault:
@@ -204,7 +206,7 @@
     return False
 
 
-async def answer_badly(
+async def send_faulty_answer(
     conn: Connection, fault: str, body: bytes, echo: Header
 ) -> bool:
     """Answer a request that ran; return whether another may follow."""
--- a/tests/steps/entry/mixed_steps.py
+++ b/tests/steps/entry/mixed_steps.py
@@ -60,17 +60,17 @@
 @then("the ledgers agree with the callers' books")
 def _(context):
     scene = context.mixed
-    told = scene.books.told
+    told = scene.books.outcomes
     assert len(told) == context.sent, len(told)
-    faults = scene.books.faults(scene.ran(), scene.posts())
+    faults = scene.books.find_violations(scene.ran(), scene.posts())
     assert not faults, faults[:5]
 
 
 @then("every mixed request was answered and none was cut")
 def _(context):
     books = context.mixed.books
-    answered = standin_caller.Told.ANSWERED
-    others = [one for one in books.told.values() if one is not answered]
+    answered = standin_caller.RequestOutcome.ANSWERED
+    others = [one for one in books.outcomes.values() if one is not answered]
     assert not others, others[:5]
     assert not books.cut, books.cut
     assert [one.cut_requests for one in context.mixed.stops] == [0, 0]
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -289,7 +289,9 @@
     @property
     def taken(self):
         """Return the bytes of long answers that the entry has taken."""
-        return sum(conn.sent for one in self.standins for conn in one.open)
+        return sum(
+            conn.sent for one in self.standins for conn in one.open_connections
+        )
 
     @contextlib.asynccontextmanager
     async def running(self):
--- a/tests/support/mixed.py
+++ b/tests/support/mixed.py
@@ -51,7 +51,7 @@
             path.placement.rotate = True
             path.app = self._app(path)
         self.rng = random.Random(seed)
-        self.books = standin_caller.Books()
+        self.books = standin_caller.OutcomeLedger()
         self.once = set()
         self.stops = []
 
@@ -90,7 +90,7 @@
             path = "/upload" if kind == "PUT" else "/x"
             size = {"GET": 0, "POST": 100, "PUT": UPLOAD_BYTES}[kind]
             seeds = [one.address for one in self.paths]
-            await person.ask(seeds, kind, path, size)
+            await person.send_with_retries(seeds, kind, path, size)
         await person.aclose()
 
     async def stop_entry(self, path):
@@ -120,4 +120,4 @@
 
     def posts(self):
         """Return the keys that the servers saw with what runs only once."""
-        return set().union(*(one.posted for one, _ in self.standins))
+        return set().union(*(one.post_keys for one, _ in self.standins))
