--- a/hyssopfold/application.py
+++ b/hyssopfold/application.py
@@ -107,7 +107,7 @@
     listener = serving.Listener(
         entry.apps[cfg.http_address],
         cfg.limits,
-        entry.interfaces.proxy.runs_beside,
+        entry.interfaces.data_path.runs_beside,
     )
     leave = entry.leave(listener)
     await _run_daemon(
--- a/hyssopfold/entry/adapters.py
+++ b/hyssopfold/entry/adapters.py
@@ -18,8 +18,8 @@
     """The components of an entry that an adapter may call."""
 
     app: app.App
-    proxy: proxy.Proxy
-    lookups: lookups.Lookups
+    data_path: proxy.Proxy
+    lookup_service: lookups.Lookups
 
 
 class EntryAdapters(NamedTuple):
--- a/hyssopfold/entry_components.py
+++ b/hyssopfold/entry_components.py
@@ -249,7 +249,7 @@
             self._update_control_addresses()
             revision = config.snapshot.revision
             self.placement.set_pools(config.snapshot.tables.pools)
-            load = float(self.interfaces.proxy.in_flight)
+            load = float(self.interfaces.data_path.in_flight)
             gossip_service.update_self(revision=revision, load=load)
             await trio.sleep(0.1)
 
