--- a/hyssopfold/__init__.py
+++ b/hyssopfold/__init__.py
@@ -1,3 +1,3 @@
-"""Global traffic steering: routes and pools in, outcomes owned."""
+"""Global traffic steering: sends requests to backend servers by region."""
 
 __version__ = "0.1.0"
--- a/hyssopfold/access.py
+++ b/hyssopfold/access.py
@@ -1,4 +1,4 @@
-"""Tokens that operators and backend servers show, by HTTP."""
+"""Checks the bearer tokens of operators and backend servers over HTTP."""
 
 import hmac
 
@@ -9,11 +9,11 @@
 
 
 class Guard:
-    """Let requests through that carry one of some tokens.
+    """Refuses HTTP requests without a valid bearer token.
 
     Args:
-        tokens: Tokens of which each is good; none lets all requests through.
-        remedy: What the refused one can do.
+        tokens: Valid tokens; if empty, all requests pass.
+        remedy: Text for a refused caller: how to get access.
     """
 
     def __init__(self, tokens: tuple[bytes, ...], remedy: str) -> None:
@@ -21,33 +21,39 @@
         self._remedy = remedy
 
     def replace(self, tokens: tuple[bytes, ...]) -> None:
-        """Use other tokens from now on."""
+        """Accept these tokens from now on, in place of the previous ones."""
         self._tokens = tokens
 
     def refuse(self, scope: http.Scope) -> http.Answer | None:
-        """Return the refusal of a request, or None when it may pass."""
-        if not self._tokens or self._is_good(_shown(scope)):
+        """Return the 401 answer for a request, or None if it may pass."""
+        if not self._tokens or self._is_valid(_bearer_token(scope)):
             return None
         body = {
             "error": "unauthenticated",
-            "summary": "the token is missing or not one of ours",
+            "summary": "the token is missing or not valid",
             "remedy": self._remedy,
         }
         answer = http.json_answer(body, 401)
         return answer._replace(headers=((b"www-authenticate", b"Bearer"),))
 
-    def _is_good(self, shown: bytes) -> bool:
+    def _is_valid(self, received: bytes) -> bool:
         """Compare with every token, each in constant time.
 
-        The time of an early return would tell a guesser how many letters
-        were right, or which token was tried.
+        The time of an early return would reveal to an attacker how many
+        characters were right, or which token matched.
         """
-        good = [hmac.compare_digest(token, shown) for token in self._tokens]
-        return any(good)
+        matches = [
+            hmac.compare_digest(token, received) for token in self._tokens
+        ]
+        return any(matches)
 
 
 def load(path: str, remedy: str) -> Guard:
-    """Return the guard of a token file; no path lets all through.
+    """Return a guard with the tokens of a file.
+
+    Args:
+        path: Token file; if empty, the guard lets all requests pass.
+        remedy: Text for a refused caller: how to get access.
 
     Raises:
         InvalidDocumentError: when the file cannot be used.
@@ -55,7 +61,7 @@
     return Guard(auth.read_keys(path) if path else (), remedy)
 
 
-def _shown(scope: http.Scope) -> bytes:
+def _bearer_token(scope: http.Scope) -> bytes:
     for name, value in scope["headers"]:
         if name == b"authorization":
             if value[: len(_SCHEME)].lower() == _SCHEME:
--- a/hyssopfold/announcements.py
+++ b/hyssopfold/announcements.py
@@ -1,4 +1,4 @@
-"""What a backend server sends to announce itself, over HTTP."""
+"""Announcements that backend servers send over HTTP: fields and checks."""
 
 from typing import Literal
 from typing import NotRequired
@@ -19,9 +19,10 @@
 MAX_LOAD = 1_000_000.0
 # No server takes longer than a day to warm up.
 MAX_COLD_S = 86_400.0
-# A number beyond this could never be followed by a newer one.
+# Limit of incarnation and sequence numbers: after a larger one, a server could
+# send no newer one.
 MAX_NUMBER = 2**53
-_MAX_LETTERS = 63
+_MAX_NAME_LENGTH = 63
 _NAMES = ("pool", "region", "failure_domain")
 _LIMITS = {
     "slots": (1, MAX_SLOTS),
@@ -50,10 +51,14 @@
 
 
 def parse(server_id: str, body: bytes) -> messages.Server:
-    """Return the announcement in `body`.
+    """Return the announcement in a request body.
+
+    Args:
+        server_id: ID of the server, from the request's path.
+        body: JSON body of the request.
 
     Raises:
-        InvalidDocumentError: when it is none.
+        InvalidDocumentError: when the body is no valid announcement.
     """
     try:
         fields = msgspec.json.decode(body, type=Body)
@@ -63,10 +68,10 @@
 
 
 def check(server: messages.Server) -> messages.Server:
-    """Return an announcement that holds what it may.
+    """Return an announcement after checking its fields.
 
     Raises:
-        InvalidDocumentError: when it does not.
+        InvalidDocumentError: when a field has a value that is not allowed.
     """
     fields = server._asdict()
     if not documents.is_address(server.address):
@@ -75,12 +80,12 @@
     names = {"ID": server.server_id}
     names |= {key: fields[key] for key in _NAMES}
     for key, name in names.items():
-        if not 0 < len(name) <= _MAX_LETTERS or not name.isprintable():
-            allowed = f"1 to {_MAX_LETTERS} printable letters"
-            raise _invalid(key, name[:_MAX_LETTERS], allowed)
+        if not 0 < len(name) <= _MAX_NAME_LENGTH or not name.isprintable():
+            allowed = f"1 to {_MAX_NAME_LENGTH} printable characters"
+            raise _invalid(key, name[:_MAX_NAME_LENGTH], allowed)
     for key, (low, high) in _LIMITS.items():
         value = fields[key]
-        # Written so that NaN, which compares to nothing, is refused too.
+        # This form also refuses NaN, for which every comparison is false.
         if not low <= value <= high:
             raise _invalid(key, str(value), f"a number from {low} to {high}")
     return server
@@ -94,12 +99,19 @@
 
 
 async def answer(
-    spread: gossip.Gossip,
+    gossip_service: gossip.Gossip,
     scope: http.Scope,
     receive: http.Receive,
     guard: access.Guard,
 ) -> http.Answer:
-    """Take in a server's announcement and return its answer."""
+    """Process a server's announcement and return the answer to it.
+
+    Args:
+        gossip_service: Passes the announcement on to other instances.
+        scope: ASGI scope of the request.
+        receive: ASGI receive function of the request.
+        guard: Checks the server's token.
+    """
     refusal = guard.refuse(scope)
     if refusal is not None:
         return refusal
@@ -108,5 +120,5 @@
         server = parse(scope["path"].removeprefix(PATH), body or b"")
     except errors.InvalidDocumentError as exc:
         return http.error_answer(exc, 400)
-    spread.announce(server)
-    return http.json_answer({"revision": spread.myself.revision})
+    gossip_service.announce(server)
+    return http.json_answer({"revision": gossip_service.myself.revision})
--- a/hyssopfold/application.py
+++ b/hyssopfold/application.py
@@ -1,4 +1,4 @@
-"""Composition root: the parts of each daemon, wired, under supervision."""
+"""Composition root: creates the components of a daemon and supervises them."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -47,8 +47,15 @@
     adapters: "control_adapters.ControlAdapters | None" = None,
     source: settings_source.Source | None = None,
 ) -> None:
-    """Run a control instance until it is told to stop."""
-    # Each daemon loads its own parts only: loading is most of a start.
+    """Run a control instance until a signal stops it.
+
+    Args:
+        cfg: Settings of the instance.
+        adapters: Application on its address; by default its own interface.
+        source: Settings file to watch for changes, if any.
+    """
+    # Imported here so that each daemon loads its own modules only: loading
+    # modules takes most of the time of a start.
     from hyssopfold import control_components
     from hyssopfold.control import adapters as control_adapters
     from hyssopfold.storage import folder
@@ -58,34 +65,32 @@
     with folder.DataFolder(cfg.data_folder) as data:
         control = control_components.ControlComponents(cfg, adapters, data)
         reloader = control.security.reloader
-        _follow_settings(
-            cfg, source, reloader, control.gossip_service.set_seeds
-        )
+        _watch_settings(cfg, source, reloader, control.gossip_service.set_seeds)
         await _run_daemon(
             cfg,
             control.apps,
             control.children(),
             control.rng,
-            _stop_at_once,
+            _leave_at_once,
             control.security,
         )
 
 
-def _follow_settings(
+def _watch_settings(
     cfg: settings.ControlSettings | settings.EntrySettings,
     source: settings_source.Source | None,
     reloader: reloading.Reloader,
     set_seeds: Callable[[tuple[str, ...]], None],
 ) -> None:
-    """Put what may change while running in force when the file changes."""
+    """Apply changes of the settings that a running process can change."""
     if source is None:
         return
-    uses: dict[str, Callable[[Any], None]] = {
+    setters: dict[str, Callable[[Any], None]] = {
         "gossip_seeds": set_seeds,
         "log_level": logs.set_level,
     }
-    live = settings_source.SettingsReloader(cfg, source, uses)
-    reloader.watch((source.path,), live.reload)
+    settings_reloader = settings_source.SettingsReloader(cfg, source, setters)
+    reloader.watch((source.path,), settings_reloader.reload)
 
 
 async def run_entry(
@@ -93,15 +98,23 @@
     adapters: "entry_adapters.EntryAdapters | None" = None,
     source: settings_source.Source | None = None,
 ) -> None:
-    """Run an entry until it is told to stop and its requests are done."""
-    # Each daemon loads its own parts only: loading is most of a start.
+    """Run an entry until a signal stops it and its requests have ended.
+
+    Args:
+        cfg: Settings of the entry.
+        adapters: Applications on its addresses and headers of its data path;
+            by default its own interface.
+        source: Settings file to watch for changes, if any.
+    """
+    # Imported here so that each daemon loads its own modules only: loading
+    # modules takes most of the time of a start.
     from hyssopfold import entry_components
     from hyssopfold.entry import adapters as entry_adapters
 
     output = _configure_logs(cfg)
     adapters = adapters or entry_adapters.OUR_ADAPTERS
     entry = entry_components.EntryComponents(cfg, adapters, output)
-    _follow_settings(
+    _watch_settings(
         cfg, source, entry.security.reloader, entry.gossip_service.set_seeds
     )
     listener = serving.Listener(
@@ -122,29 +135,29 @@
     await entry.upstream.aclose()
 
 
-class _Stop:
-    """A planned stop: its end, and the time that is left for it.
+class _PlannedStop:
+    """A planned stop: the event that ends serving and the time that is left.
 
     Args:
-        max_s: Longest it may take, from when it is asked for.
+        max_s: Longest duration of the stop in seconds, from the first signal.
     """
 
     def __init__(self, max_s: float) -> None:
         self.event = trio.Event()
         self._max_s = max_s
-        self._asked_at = trio.current_time()
+        self._started_at = trio.current_time()
 
-    def ask(self) -> None:
-        """Count the time from now on."""
-        self._asked_at = trio.current_time()
+    def start(self) -> None:
+        """Start the stop's time limit now."""
+        self._started_at = trio.current_time()
 
     def left_s(self) -> float:
-        """Return the seconds that are left."""
-        return max(0.0, self._asked_at + self._max_s - trio.current_time())
+        """Return the seconds that are left; 0 after the time limit."""
+        return max(0.0, self._started_at + self._max_s - trio.current_time())
 
 
-async def _stop_at_once() -> None:
-    """Leave without waiting: no caller's request is under way here."""
+async def _leave_at_once() -> None:
+    """Leave without waiting: a control instance serves no callers' requests."""
 
 
 async def _run_daemon(
@@ -153,36 +166,41 @@
     children: list[Child],
     rng: random.Random,
     leave: Callable[[], Awaitable[None]],
-    shared: security.Security,
+    process_security: security.Security,
     listener: serving.Listener | None = None,
 ) -> None:
-    """Supervise the children and the HTTP servers until told to stop.
+    """Supervise the children and the HTTP servers until a signal stops them.
 
     Args:
         cfg: Settings of the process.
-        apps: What is served, by address; that on `http_address` last to end.
-        children: Tasks to supervise.
+        apps: ASGI applications by address; the one on `http_address` ends last.
+        children: Names and tasks to supervise.
         rng: Source of the jitter between restarts.
-        leave: Returns when new requests are no longer to be taken.
-        shared: Who may talk to the process.
-        listener: Connections on `http_address`; made here when left out.
+        leave: Returns when no new requests are to be accepted any more.
+        process_security: Keys, tokens and certificates of the process.
+        listener: Connections on `http_address`; created here when left out.
     """
-    stop = _Stop(cfg.stop_max_s)
+    stop = _PlannedStop(cfg.stop_max_s)
     app = apps[cfg.http_address]
     async with rpc.open_loop(), trio.open_nursery() as nursery:
         for name, child in children:
             nursery.start_soon(supervisor.supervise, name, child, rng)
         listener = listener or serving.Listener(app, serving.Limits())
         nursery.start_soon(
-            _wait_for_stop, cfg, leave, listener, stop, shared.reloader.check
+            _wait_for_stop,
+            cfg,
+            leave,
+            listener,
+            stop,
+            process_security.reloader.check,
         )
-        for address, other in apps.items():
+        for address, other_app in apps.items():
             if address != cfg.http_address:
-                beside = functools.partial(
-                    http.serve, other, address, trio.Event(), 0.0
+                serve_other = functools.partial(
+                    http.serve, other_app, address, trio.Event(), 0.0
                 )
                 nursery.start_soon(
-                    supervisor.supervise, f"http {address}", beside, rng
+                    supervisor.supervise, f"http {address}", serve_other, rng
                 )
         serve = functools.partial(
             http.serve,
@@ -191,7 +209,7 @@
             stop.event,
             stop.left_s,
             listener,
-            tls=shared.tls,
+            tls=process_security.tls,
         )
         logger.info(logs.Event("started", http=cfg.http_address))
         await supervisor.supervise("http", serve, rng)
@@ -203,25 +221,25 @@
     cfg: settings.ControlSettings | settings.EntrySettings,
     leave: Callable[[], Awaitable[None]],
     listener: serving.Listener,
-    stop: _Stop,
+    stop: _PlannedStop,
     reload: Callable[[], None],
 ) -> None:
     async def leave_and_stop() -> None:
-        stop.ask()
+        stop.start()
         await leave()
         stop.event.set()
 
-    numbers = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
-    with trio.open_signal_receiver(*numbers) as signals:
+    signal_numbers = (signal.SIGTERM, signal.SIGINT, signal.SIGHUP)
+    with trio.open_signal_receiver(*signal_numbers) as signals:
         async with trio.open_nursery() as nursery:
-            asked = False
+            stop_requested = False
             async for number in signals:
                 name = signal.Signals(number).name
                 if number == signal.SIGHUP:
                     logger.info(logs.Event("reload-asked", signal=name))
                     reload()
                     continue
-                if not asked:
+                if not stop_requested:
                     logger.info(logs.Event("stop-asked", signal=name))
                     nursery.start_soon(leave_and_stop)
                 elif cfg.stop_second_signal == "cut":
@@ -229,7 +247,7 @@
                     stop.event.set()
                 else:
                     logger.info(logs.Event("second-signal-ignored"))
-                asked = True
+                stop_requested = True
 
 
 def run(main: Callable[[Any], Awaitable[None]], cfg: Any) -> None:
--- a/hyssopfold/certificates.py
+++ b/hyssopfold/certificates.py
@@ -1,4 +1,4 @@
-"""TLS contexts whose certificates are read again without a stop."""
+"""TLS contexts whose certificate files can be read again while in use."""
 
 from collections.abc import Callable
 from collections.abc import Sequence
@@ -12,7 +12,7 @@
 
 
 class Files(NamedTuple):
-    """Where a certificate, its key and the issuers of peers' ones are."""
+    """Paths of a certificate, its key and the CA certificates for peers."""
 
     certificate: str
     key: str
@@ -20,10 +20,11 @@
 
 
 class ServerContext:
-    """The serving side of TLS; new connections get the newest certificate.
+    """TLS context of a server; new connections use the newest certificate.
 
     Args:
-        files: Certificate and key; with issuers, peers must show one too.
+        files: Certificate and key; with issuers, peers must present a
+            certificate too.
 
     Raises:
         InvalidDocumentError: when the files cannot be used.
@@ -42,13 +43,20 @@
 
         Raises:
             InvalidDocumentError: when they cannot be used; the context then
-                goes on with what it had.
+                keeps the previous certificate.
         """
         _load(self.context, self.files)
 
 
 class ClientContext:
-    """The connecting side of mutual TLS between our processes."""
+    """TLS context of a client, for mutual TLS between instances.
+
+    Args:
+        files: Certificate, key and issuers.
+
+    Raises:
+        InvalidDocumentError: when the files cannot be used.
+    """
 
     def __init__(self, files: Files) -> None:
         self.files = files
@@ -62,11 +70,11 @@
 
 
 class TlsStream:
-    """A TLS connection with what serving needs of a plain one.
+    """A TLS connection with the interface that serving needs of TCP streams.
 
     Args:
-        plain: The connection below.
-        context: What to show and to ask for.
+        plain: The TCP connection.
+        context: Certificate to present and requirements for the peer's.
     """
 
     def __init__(self, plain: trio.SocketStream, context: ssl.SSLContext):
@@ -77,7 +85,7 @@
         self.socket = plain.socket
 
     async def receive_some(self, max_bytes: int | None = None) -> bytes:
-        """Return some bytes, or none at the end."""
+        """Return received bytes; b"" at the end of the stream."""
         return bytes(await self._tls.receive_some(max_bytes))
 
     async def send_all(self, data: bytes) -> None:
@@ -85,7 +93,7 @@
         await self._tls.send_all(data)
 
     async def send_eof(self) -> None:
-        """Send no more; TLS has no such word, so TCP says it."""
+        """Close the sending side on TCP, as TLS cannot close one side only."""
         await self._plain.send_eof()
 
     async def aclose(self) -> None:
@@ -94,11 +102,11 @@
 
 
 class TlsListener(trio.abc.Listener[Any]):
-    """Accept TLS connections.
+    """Accepts TLS connections.
 
     Args:
-        plain: What accepts the connections below.
-        server: The certificate to show.
+        plain: Listener of the TCP connections.
+        server: Context with the certificate to present.
     """
 
     def __init__(
@@ -108,30 +116,30 @@
         self._server = server
 
     async def accept(self) -> TlsStream:
-        """Return the next connection; its handshake comes with its bytes."""
+        """Return the next connection; its first I/O does the handshake."""
         return TlsStream(await self._plain.accept(), self._server.context)
 
     async def aclose(self) -> None:
-        """Accept no more."""
+        """Stop accepting connections."""
         await self._plain.aclose()
 
 
 def _load(context: ssl.SSLContext, files: Files) -> None:
-    # Tried on a context of its own first: loading a certificate whose key
-    # does not fit leaves a context with half of the pair.
-    trial = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
-    for one in (trial, context):
-        _guarded(files.certificate, one.load_cert_chain, files[:2])
+    # Loaded into a separate context first: loading a certificate whose key does
+    # not match leaves a context with half of the pair.
+    trial_context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
+    for target in (trial_context, context):
+        _load_file(files.certificate, target.load_cert_chain, files[:2])
         if files.issuers:
-            _guarded(files.issuers, one.load_verify_locations, files[2:])
+            _load_file(files.issuers, target.load_verify_locations, files[2:])
 
 
-def _guarded(
-    path: str, load: Callable[..., object], arguments: Sequence[str]
+def _load_file(
+    path: str, load: Callable[..., object], paths: Sequence[str]
 ) -> None:
     try:
-        load(*arguments)
+        load(*paths)
     except OSError as exc:  # includes ssl.SSLError
-        allowed = "PEM files, readable, whose certificate and key fit"
+        allowed = "readable PEM files whose certificate and key match"
         fault = errors.Fault(path, 1, "certificate", str(exc), allowed)
         raise errors.InvalidDocumentError([fault]) from exc
--- a/hyssopfold/http.py
+++ b/hyssopfold/http.py
@@ -1,4 +1,4 @@
-"""Small ASGI helpers shared by the daemons."""
+"""ASGI types and helpers shared by the daemons."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -22,14 +22,14 @@
 
 MAX_BODY_BYTES = 4 * 1024 * 1024
 BACKLOG = 1024
-# A kept-alive connection is closed by a stop only when nothing came on it
-# for longer than a request takes to cross from any region.
+# A stop closes a kept-alive connection only when it has received nothing for
+# longer than a request takes to arrive from any region.
 IDLE_BEFORE_CLOSE_S = 0.5
 FINISH_PERIOD_S = 0.05
 
 
 class Answer(NamedTuple):
-    """A whole answer of ours."""
+    """A complete HTTP answer that a daemon sends itself."""
 
     status: int
     body: bytes
@@ -38,7 +38,10 @@
 
 
 class Refusal(NamedTuple):
-    """Why a request was not served, and what the caller can do."""
+    """Why a request was not served, and what the caller can do.
+
+    `error` is the reason, `outcome` says whether the request may have run.
+    """
 
     status: int
     error: str
@@ -57,12 +60,12 @@
     retry_after: Callable[[float], bytes],
     outcome_name: bytes,
 ) -> Answer:
-    """Return the answer that tells a caller of a refusal.
+    """Return the answer to a caller whose request is refused.
 
     Args:
-        refusal: What is told.
-        retry_after: Writes seconds as the caller reads them.
-        outcome_name: Header that tells what is certain; empty for none.
+        refusal: Status, reason, outcome and remedy.
+        retry_after: Formats seconds as the retry-after header's value.
+        outcome_name: Name of the header for the outcome; empty for none.
     """
     body = msgspec.json.encode(
         {
@@ -80,7 +83,7 @@
 
 
 def error_answer(exc: errors.HyssopError, status: int) -> Answer:
-    """Return the answer that tells an operator of an error."""
+    """Return an error as a JSON answer for an operator."""
     body = {"error": exc.kind, "summary": exc.summary, "remedy": exc.remedy}
     return json_answer(body, status)
 
@@ -106,7 +109,12 @@
 async def read_body(
     receive: Receive, max_bytes: int = MAX_BODY_BYTES
 ) -> bytes | None:
-    """Return the request's whole body, or None when it is cut or too long."""
+    """Return the request's whole body, or None if it is cut or too long.
+
+    Args:
+        receive: ASGI receive function of the request.
+        max_bytes: Largest body to accept.
+    """
     parts: list[bytes] = []
     size = 0
     while True:
@@ -123,7 +131,7 @@
 
 
 async def accept_lifespan(receive: Receive, send: Send) -> None:
-    """Answer the server's start and stop messages."""
+    """Acknowledge the ASGI server's startup and shutdown messages."""
     while True:
         message = await receive()
         await send({"type": f"{message['type']}.complete"})
@@ -145,21 +153,23 @@
     Args:
         app: ASGI application.
         address: IP number and port.
-        stop: Set to stop accepting and finish what is in flight.
-        grace_s: Longest to wait for requests in flight, or what tells it once
-            `stop` is set.
-        listener: Connections of `app`; made here when left out.
-        task_status: Told once the address is bound.
-        tls: Certificate to show, or None for plain HTTP.
+        stop: Set to stop accepting and to finish requests in flight.
+        grace_s: Longest time in seconds to wait for requests in flight, or a
+            function that returns it once `stop` is set.
+        listener: Connections of `app`; created here when left out.
+        task_status: Started with the address once it is bound.
+        tls: Context with the certificate to present, or None for plain HTTP.
 
     Raises:
-        PortBusyError: when another process holds the address.
+        PortBusyError: when another process uses the address.
     """
     listener = listener or serving.Listener(app, serving.Limits())
-    sockets = await listen(address)
-    open_listeners: list[trio.abc.Listener[Any]] = [*sockets]
+    tcp_listeners = await listen(address)
+    open_listeners: list[trio.abc.Listener[Any]] = [*tcp_listeners]
     if tls is not None:
-        open_listeners = [certificates.TlsListener(one, tls) for one in sockets]
+        open_listeners = [
+            certificates.TlsListener(plain, tls) for plain in tcp_listeners
+        ]
     async with trio.open_nursery() as nursery:
         nursery.start_soon(listener.sweep)
         async with trio.open_nursery() as accepting:
@@ -174,8 +184,8 @@
             task_status.started([address])
             await stop.wait()
             accepting.cancel_scope.cancel()
-        left_s = grace_s() if callable(grace_s) else grace_s
-        await finish(listener, left_s)
+        time_left_s = grace_s() if callable(grace_s) else grace_s
+        await finish(listener, time_left_s)
         nursery.cancel_scope.cancel()
 
 
@@ -183,7 +193,7 @@
     """Return listeners on `address`, an IP number and port.
 
     Raises:
-        PortBusyError: when another process holds the address.
+        PortBusyError: when another process uses the address.
     """
     host, port = address.rsplit(":", 1)
     try:
@@ -197,7 +207,7 @@
 
 
 async def finish(listener: serving.Listener, grace_s: float) -> None:
-    """Wait until no connection is open, for `grace_s` seconds at most."""
+    """Close connections as they become idle, for `grace_s` seconds at most."""
     listener.close_after_answers()
     with trio.move_on_after(grace_s):
         while listener.connections:
--- a/hyssopfold/identity.py
+++ b/hyssopfold/identity.py
@@ -1,4 +1,4 @@
-"""What a process says of itself to the others."""
+"""Identity of a process in its messages to other instances."""
 
 import time
 
@@ -8,7 +8,7 @@
 
 
 def incarnation() -> int:
-    """Return a number that grows from one start of a process to the next."""
+    """Return the time in ms, a number that grows with each process start."""
     return time.time_ns() // 1_000_000
 
 
@@ -16,7 +16,12 @@
     cfg: settings.ControlSettings | settings.EntrySettings,
     role: messages.Role,
 ) -> messages.Instance:
-    """Return what an instance says of itself at its start."""
+    """Return the record that an instance announces of itself at its start.
+
+    Args:
+        cfg: Settings of the instance.
+        role: Whether it is a control instance or an entry.
+    """
     return messages.Instance(
         name=cfg.name,
         role=role,
@@ -33,6 +38,6 @@
     )
 
 
-def member(word: messages.Instance) -> balancing.Member:
-    """Return an instance as placement knows it: one life of it."""
-    return balancing.Member(word.name, word.incarnation)
+def member(instance: messages.Instance) -> balancing.Member:
+    """Return one incarnation of an instance, as placement identifies it."""
+    return balancing.Member(instance.name, instance.incarnation)
--- a/hyssopfold/instances.py
+++ b/hyssopfold/instances.py
@@ -1,4 +1,4 @@
-"""What a daemon tells of the instances it knows, over HTTP."""
+"""The list of known instances that each daemon serves over HTTP."""
 
 from hyssopfold import http
 from hyssopfold.transport import gossip
@@ -6,8 +6,8 @@
 PATH = "/hyssop/v1/instances"
 
 
-def answer(spread: gossip.Gossip) -> http.Answer:
-    """Return the instances whose lease holds, with their own words."""
-    words = spread.directory.instances.words()
-    listed = [word._asdict() for word in words]
-    return http.json_answer({"instances": listed})
+def answer(gossip_service: gossip.Gossip) -> http.Answer:
+    """Return the records of the instances whose lease has not expired."""
+    records = gossip_service.directory.instances.words()
+    fields = [record._asdict() for record in records]
+    return http.json_answer({"instances": fields})
--- a/hyssopfold/log_output.py
+++ b/hyssopfold/log_output.py
@@ -1,32 +1,33 @@
-"""Standard output for log lines: bounded, and never waited for."""
+"""Writes log lines to standard output without blocking, within limits."""
 
 import collections
 import logging
 import os
 import select
 
-# Standard output. It is not set to non-blocking: that would reach whoever
-# else has it open.
+# File descriptor of standard output. It is not set to non-blocking: that would
+# also affect other processes that have it open.
 STANDARD_OUTPUT = 1
-# A pipe that is ready takes so many bytes without waiting (POSIX, PIPE_BUF).
+# A pipe that is ready accepts this many bytes without blocking (POSIX,
+# PIPE_BUF).
 ATOMIC_BYTES = 4096
-# Bytes that wait while the reader of standard output stalls; more would only
-# be memory, and the newest lines tell most.
-MAX_WAITING_BYTES = 262_144
-# Lines a second beyond which a process writes none. The ground is processor
-# time: a line costs some 50 us, so 400 take 2 % of a core.
+# Largest buffer in bytes while the reader of standard output stalls. A larger
+# one would only keep old lines in memory, and the newest lines tell most.
+MAX_BUFFERED_BYTES = 262_144
+# Largest number of lines that a process writes in a second. It limits CPU time:
+# a line costs about 50 us, so 400 take 2 % of a core.
 LINES_PER_S = 400.0
 
 
 class BoundedHandler(logging.Handler):
-    """Write lines without waiting; count what is left out.
+    """Writes log lines without blocking and counts the lines it drops.
 
-    A pipe whose reader stalls is full after 64 KiB. A write that waited for
-    it would hold up every request of the process, since one thread does all.
+    A pipe whose reader stalls is full after 64 KiB. A blocking write would
+    delay every request of the process, as it has a single thread.
 
     Args:
-        descriptor: Where to write.
-        lines_per_s: Lines a second that are written at most.
+        descriptor: File descriptor to write to.
+        lines_per_s: Largest number of lines to write in a second.
     """
 
     def __init__(
@@ -35,76 +36,76 @@
         super().__init__()
         self._descriptor = descriptor
         self._lines_per_s = lines_per_s
-        self._waiting: collections.deque[bytes] = collections.deque()
-        self._waiting_bytes = 0
+        self._buffer: collections.deque[bytes] = collections.deque()
+        self._buffered_bytes = 0
         self._second = 0
-        self._in_second = 0
-        self._over = 0
+        self._lines_in_second = 0
+        self._unreported = 0
         self.left_out = 0
         self._poll = select.poll()
         self._poll.register(descriptor, select.POLLOUT)
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a record's line, or leave it out."""
+        """Write a record's line, or drop it when a limit is reached."""
         try:
-            if self._has_room(record):
-                self._put(self.format(record))
-        except Exception:  # noqa: BLE001 - as logging itself does
+            if self._within_rate(record):
+                self._enqueue(self.format(record))
+        except Exception:  # noqa: BLE001 - as logging.Handler does
             self.handleError(record)
         self.flush()
 
-    def _has_room(self, record: logging.LogRecord) -> bool:
+    def _within_rate(self, record: logging.LogRecord) -> bool:
         second = int(record.created)
         if second != self._second:
-            self._tell_left_out(record)
-            self._second, self._in_second = second, 0
-        self._in_second += 1
-        if self._in_second > self._lines_per_s:
-            self._over += 1
+            self._write_left_out(record)
+            self._second, self._lines_in_second = second, 0
+        self._lines_in_second += 1
+        if self._lines_in_second > self._lines_per_s:
+            self._unreported += 1
             self.left_out += 1
             return False
         return True
 
-    def _tell_left_out(self, record: logging.LogRecord) -> None:
-        if not self._over:
+    def _write_left_out(self, record: logging.LogRecord) -> None:
+        if not self._unreported:
             return
-        over, self._over = self._over, 0
-        told = logging.makeLogRecord(record.__dict__)
-        told.levelno, told.levelname = logging.WARNING, "WARNING"
-        told.name, told.exc_info = __name__, None
-        # Written by the formatter as `event=message text=...`.
-        told.msg, told.args = f"lines-left-out count={over}", ()
-        self._put(self.format(told))
+        count, self._unreported = self._unreported, 0
+        summary = logging.makeLogRecord(record.__dict__)
+        summary.levelno, summary.levelname = logging.WARNING, "WARNING"
+        summary.name, summary.exc_info = __name__, None
+        # The formatter writes this as `event=message text=...`.
+        summary.msg, summary.args = f"lines-left-out count={count}", ()
+        self._enqueue(self.format(summary))
 
-    def _put(self, line: str) -> None:
+    def _enqueue(self, line: str) -> None:
         data = line.encode("utf-8", "replace") + b"\n"
-        if self._waiting_bytes + len(data) > MAX_WAITING_BYTES:
-            self._over += 1
+        if self._buffered_bytes + len(data) > MAX_BUFFERED_BYTES:
+            self._unreported += 1
             self.left_out += 1
             return
-        self._waiting.append(data)
-        self._waiting_bytes += len(data)
+        self._buffer.append(data)
+        self._buffered_bytes += len(data)
 
     def flush(self) -> None:
-        """Write what waits, as far as the reader takes it."""
-        while self._waiting and self._poll.poll(0):
-            data = self._waiting[0]
+        """Write buffered lines for as long as the descriptor accepts them."""
+        while self._buffer and self._poll.poll(0):
+            data = self._buffer[0]
             try:
-                count = os.write(self._descriptor, data[:ATOMIC_BYTES])
+                written = os.write(self._descriptor, data[:ATOMIC_BYTES])
             except OSError:
-                # Nobody reads any more; there is nowhere left to say so.
+                # The reader has closed the pipe; the error cannot be logged.
                 self._drop_all()
                 return
-            self._waiting_bytes -= count
-            if count < len(data):
-                self._waiting[0] = data[count:]
+            self._buffered_bytes -= written
+            if written < len(data):
+                self._buffer[0] = data[written:]
             else:
-                self._waiting.popleft()
+                self._buffer.popleft()
 
     def _drop_all(self) -> None:
-        self.left_out += len(self._waiting)
-        self._waiting.clear()
-        self._waiting_bytes = 0
+        self.left_out += len(self._buffer)
+        self._buffer.clear()
+        self._buffered_bytes = 0
 
 
 def to_standard_output(lines_per_s: float) -> BoundedHandler:
--- a/hyssopfold/logs.py
+++ b/hyssopfold/logs.py
@@ -1,4 +1,4 @@
-"""One key=value line for each event."""
+"""Structured logging: one line of key=value pairs for each event."""
 
 import json
 import logging
@@ -12,7 +12,7 @@
 
 
 def quote(value: object) -> str:
-    """Return `value` so that no input can forge a field or a line.
+    """Return `value` quoted so that no input can forge a field or a line.
 
     Anything but a plain token is written as a JSON string in ASCII, which
     escapes quotes, newlines and control characters.
@@ -29,7 +29,7 @@
     """Return the fields of a line that `KeyValueFormatter` wrote.
 
     Args:
-        line: The line; what stands before its `time=` is passed over.
+        line: The line; text before its `time=` is ignored.
     """
     fields = {}
     for name, value in _FIELD.findall(
@@ -40,7 +40,7 @@
 
 
 class Event(dict[str, object]):
-    """An event's fields, formatted only when a handler writes the line."""
+    """The fields of an event; formatted only when a handler writes the line."""
 
     def __init__(self, event: str, **fields: object) -> None:
         super().__init__(fields)
@@ -53,9 +53,13 @@
 
 
 class KeyValueFormatter(logging.Formatter):
-    """Format each record as one line of key=value pairs."""
+    """Formats each record as one line of key=value pairs.
 
-    # The instances' lines are laid side by side: local times would not fit.
+    Args:
+        instance: Name of this process, put on each line.
+    """
+
+    # Lines of several instances are compared: local times would not match.
     converter = staticmethod(time.gmtime)
 
     def __init__(self, instance: str) -> None:
@@ -64,9 +68,9 @@
 
     def format(self, record: logging.LogRecord) -> str:
         """Return the line for `record`; times are UTC in ISO 8601."""
-        stamp = self.formatTime(record, "%Y-%m-%dT%H:%M:%S")
+        timestamp = self.formatTime(record, "%Y-%m-%dT%H:%M:%S")
         head = (
-            f"time={stamp}.{int(record.msecs):03d}Z"
+            f"time={timestamp}.{int(record.msecs):03d}Z"
             f" level={record.levelname.lower()}"
             f" instance={self._instance} logger={record.name}"
         )
@@ -80,7 +84,7 @@
 
 
 class SamplingFilter(logging.Filter):
-    """Let through one in `every` decision lines, and all other lines."""
+    """Passes one in `every` decision events, and all other events."""
 
     def __init__(self, every: int) -> None:
         super().__init__()
@@ -107,11 +111,11 @@
     Args:
         instance: Name of this process, put on each line.
         level: Lowest level written.
-        decision_sample: Write one in this many decision lines.
-        lines_per_s: Lines a second that are written at most.
+        decision_sample: Write one in this many decision events.
+        lines_per_s: Largest number of lines to write in a second.
 
     Returns:
-        What writes the lines, and counts those left out.
+        The handler, which counts the lines it drops.
     """
     handler = log_output.to_standard_output(lines_per_s)
     formatter = KeyValueFormatter(instance)
@@ -126,5 +130,5 @@
 
 
 def set_level(level: str) -> None:
-    """Write records from this level on."""
+    """Set the lowest level that is written."""
     logging.getLogger().setLevel(level.upper())
--- a/hyssopfold/metrics.py
+++ b/hyssopfold/metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of a daemon, kept and rendered by aioprometheus."""
+"""Metrics of a daemon, collected and rendered with aioprometheus."""
 
 from collections.abc import Mapping
 
@@ -14,7 +14,7 @@
 
 
 class Metrics:
-    """All metrics of one process, on a registry of their own.
+    """All metrics of one process, in a registry of its own.
 
     Args:
         instance: Name of this process, put on each metric.
@@ -119,7 +119,11 @@
         )
 
     def set_gossip(self, sent: Mapping[tuple[str, str], int]) -> None:
-        """Take in the bytes of datagrams sent, by purpose and distance."""
+        """Set the bytes of datagrams sent.
+
+        Args:
+            sent: Bytes since the start, by purpose and distance.
+        """
         for (purpose, distance), count in sent.items():
             labels = {"purpose": purpose, "distance": distance}
             self.gossip_bytes.set(labels, count)
@@ -127,5 +131,5 @@
     def render(self) -> http.Answer:
         """Return the metrics in the text format of Prometheus."""
         content, headers = aioprometheus.renderer.render(self.registry, [])
-        kind = headers["Content-Type"].encode()
-        return http.Answer(200, content, kind)
+        content_type = headers["Content-Type"].encode()
+        return http.Answer(200, content, content_type)
--- a/hyssopfold/reloading.py
+++ b/hyssopfold/reloading.py
@@ -1,4 +1,4 @@
-"""The task that reads keys, tokens and certificates again when they change."""
+"""Task that reads keys, tokens and certificates again when they change."""
 
 from collections.abc import Callable
 import logging
@@ -17,47 +17,47 @@
 Signature = tuple[tuple[int, int, int], ...]
 
 
-class _Watched(NamedTuple):
+class _WatchedFiles(NamedTuple):
     paths: tuple[str, ...]
-    use: Callable[[], None]
-    seen: Signature
+    reload: Callable[[], None]
+    signature: Signature
 
 
 class Reloader:
-    """Call what uses a file again when the file is another.
+    """Calls the function that reads a file again when the file has changed.
 
     Args:
-        period_s: Seconds between two looks at the files.
+        period_s: Seconds between two checks of the files.
     """
 
     def __init__(self, period_s: float | None = None) -> None:
         self._period_s = PERIOD_S if period_s is None else period_s
-        self._watched: list[_Watched] = []
+        self._watched: list[_WatchedFiles] = []
 
-    def watch(self, paths: tuple[str, ...], use: Callable[[], None]) -> None:
-        """Call `use` whenever one of `paths` has changed from now on."""
-        self._watched.append(_Watched(paths, use, _signature(paths)))
+    def watch(self, paths: tuple[str, ...], reload: Callable[[], None]) -> None:
+        """Call `reload` whenever one of `paths` changes from now on."""
+        self._watched.append(_WatchedFiles(paths, reload, _signature(paths)))
 
     async def run(self) -> None:
-        """Look at the files each period."""
+        """Check the files once a period."""
         while True:
             await trio.sleep(self._period_s)
             self.check()
 
     def check(self) -> None:
-        """Look at the files once.
+        """Check the files once and reload those that have changed.
 
-        A file that cannot be used, half written perhaps, leaves what was
-        read before in force; it is tried again when it changes.
+        If a file cannot be used, for example because it is half written, the
+        content read before stays in use; it is read again when it changes.
         """
         for index, watched in enumerate(self._watched):
-            now = _signature(watched.paths)
-            if now == watched.seen:
+            signature = _signature(watched.paths)
+            if signature == watched.signature:
                 continue
-            self._watched[index] = watched._replace(seen=now)
+            self._watched[index] = watched._replace(signature=signature)
             names = ",".join(watched.paths)
             try:
-                watched.use()
+                watched.reload()
             except (errors.InvalidDocumentError, OSError) as exc:
                 logger.error(  # noqa: TRY400
                     logs.Event("reload-refused", files=names, error=exc)
@@ -67,6 +67,7 @@
 
 
 def _signature(paths: tuple[str, ...]) -> Signature:
+    """Return modification time, size and inode of each file."""
     signature = []
     for path in paths:
         try:
--- a/hyssopfold/request_log.py
+++ b/hyssopfold/request_log.py
@@ -1,10 +1,11 @@
-"""Lines about one request, kept until its end shows whether to write them.
-
-Most requests end well and nobody asks after them; one that fails is asked for
-by its id. So the lines of a request wait for its end: a failed or refused one
-is written whole, a good one as far as there is room. Which good ones is drawn
-by the request's id, alike in every process, so a request that is kept is kept
-wherever it went. What waits is lost with the process.
+"""Log lines of a request, buffered until its end decides on writing them.
+
+Most requests succeed and their lines are never read; a failed request is looked
+up by its id. So the lines of a request are buffered until its end: those of a
+failed or refused request are all written, those of successful requests are
+sampled within a budget of lines. The sample is drawn from a hash of the request
+id, so all processes choose the same requests. Buffered lines are lost if the
+process dies.
 """
 
 import logging
@@ -14,64 +15,71 @@
 
 from hyssopfold import logs
 
-# Share of the room that good requests may take; the rest is for failures and
-# for what changes the process's belief.
-GOOD_SHARE = 0.5
+# Share of the line budget for successful requests; the rest is for failures and
+# for events that change the state of the process.
+SUCCESS_SHARE = 0.5
 _SCALE = float(1 << 32)
 
 
 class _Line(NamedTuple):
-    at: float
+    time_s: float
     logger: logging.Logger
     event: logs.Event
 
 
 class Sampler:
-    """Decide which good requests are written, within a budget of lines.
+    """Decides which successful requests to write, within a budget of lines.
+
+    `left_out` counts the lines that were not written.
 
     Args:
-        lines_per_s: Lines a second that the process may write.
+        lines_per_s: Largest number of lines that the process writes in a
+            second.
     """
 
     def __init__(self, lines_per_s: float) -> None:
-        self._budget = lines_per_s * GOOD_SHARE
+        self._budget = lines_per_s * SUCCESS_SHARE
         self._second = 0
         self._lines = 0
-        self._share = 1.0
+        self._sample_rate = 1.0
         self.left_out = 0
 
-    def keeps(self, request_id: str, lines: int, now: float) -> bool:
-        """Return whether a good request's lines are written.
+    def should_write(self, request_id: str, lines: int, now: float) -> bool:
+        """Return whether to write the lines of a successful request.
 
         Args:
-            request_id: Draws its place; a lower one is kept by more processes.
-            lines: How many they are.
+            request_id: Its hash is the request's position in the sample; a
+                request with a lower one is written by more processes.
+            lines: Number of lines of the request.
             now: Time in seconds.
         """
         second = int(now)
         if second != self._second:
-            wanted = self._lines / max(1, second - self._second)
-            self._share = min(1.0, self._budget / wanted if wanted else 1.0)
+            lines_per_s = self._lines / max(1, second - self._second)
+            self._sample_rate = min(
+                1.0, self._budget / lines_per_s if lines_per_s else 1.0
+            )
             self._second, self._lines = second, 0
         self._lines += lines
-        if self._lines * self._share > self._budget or not self._drawn(
-            request_id
+        if (
+            self._lines * self._sample_rate > self._budget
+            or not self._is_sampled(request_id)
         ):
             self.left_out += lines
             return False
         return True
 
-    def _drawn(self, request_id: str) -> bool:
-        place = zlib.crc32(request_id.encode()) / _SCALE
-        return place < self._share
+    def _is_sampled(self, request_id: str) -> bool:
+        position = zlib.crc32(request_id.encode()) / _SCALE
+        return position < self._sample_rate
 
 
 class RequestLog:
-    """The lines of one request.
+    """The buffered log lines of one request.
 
     Args:
-        request_id: Its id, put on each line.
-        sampler: Draws the good requests that are written.
+        request_id: ID of the request, put on each line.
+        sampler: Decides which successful requests are written.
     """
 
     def __init__(self, request_id: str, sampler: Sampler) -> None:
@@ -80,14 +88,21 @@
         self._lines: list[_Line] = []
 
     def add(self, logger: logging.Logger, event: str, **fields: object) -> None:
-        """Note an event; nothing is formatted yet."""
+        """Record an event; it is formatted only when it is written."""
         line = logs.Event(event, request=self._id, **fields)
         self._lines.append(_Line(time.time(), logger, line))
 
-    def end(self, good: bool) -> None:
-        """Write the lines, or leave them out."""
+    def end(self, succeeded: bool) -> None:
+        """Write the lines or drop them.
+
+        Args:
+            succeeded: Whether the request succeeded; its lines may then be
+                dropped.
+        """
         now = time.time()
-        if good and not self._sampler.keeps(self._id, len(self._lines), now):
+        if succeeded and not self._sampler.should_write(
+            self._id, len(self._lines), now
+        ):
             return
         for line in self._lines:
             _write(line)
@@ -99,6 +114,6 @@
     record = line.logger.makeRecord(
         line.logger.name, logging.INFO, "", 0, line.event, (), None
     )
-    record.created = line.at
-    record.msecs = (line.at - int(line.at)) * 1000
+    record.created = line.time_s
+    record.msecs = (line.time_s - int(line.time_s)) * 1000
     line.logger.handle(record)
--- a/hyssopfold/security.py
+++ b/hyssopfold/security.py
@@ -1,4 +1,4 @@
-"""Keys, tokens and certificates of a process, as its settings name them."""
+"""Loads the keys, tokens and certificates that a process's settings name."""
 
 import functools
 import ipaddress
@@ -20,7 +20,7 @@
 )
 
 
-_NAMED = (
+_FILE_KEY_GROUPS = (
     ("peer_key_file",),
     ("announce_token_file",),
     ("operators_token_file",),
@@ -34,7 +34,15 @@
 
 
 class Security(NamedTuple):
-    """What the parts of a process use to know whom they talk to."""
+    """Authentication of a process: its peers, operators and servers.
+
+    Attributes:
+        links: Keys and TLS contexts of connections to other instances.
+        operators: Checks the tokens of operators.
+        announcers: Checks the tokens of backend servers.
+        tls: Context of `http_address`, or None for plain HTTP.
+        reloader: Reads the files again when they change.
+    """
 
     links: rpc.Links
     operators: access.Guard
@@ -46,7 +54,11 @@
 def load(
     cfg: settings.ControlSettings | settings.EntrySettings, rng: random.Random
 ) -> Security:
-    """Return what `cfg` names, each file watched for changes.
+    """Load the files that `cfg` names and watch each for changes.
+
+    Args:
+        cfg: Settings of the process.
+        rng: Source of randomness of the links.
 
     Raises:
         InvalidDocumentError: when a file cannot be used.
@@ -68,37 +80,39 @@
 def faults(
     cfg: settings.ControlSettings | settings.EntrySettings,
 ) -> list[errors.Fault]:
-    """Return what is wrong with the files that `cfg` names, all at once."""
-    found: list[errors.Fault] = []
-    for named in _NAMED:
-        alone = {key: getattr(cfg, key, "") for key in named}
-        others: dict[str, Any] = {
+    """Return the faults of all files that `cfg` names."""
+    all_faults: list[errors.Fault] = []
+    for group in _FILE_KEY_GROUPS:
+        paths = {key: getattr(cfg, key, "") for key in group}
+        cleared: dict[str, Any] = {
             key: ""
-            for group in _NAMED
-            for key in group
-            if key not in named and hasattr(cfg, key)
+            for other_group in _FILE_KEY_GROUPS
+            for key in other_group
+            if key not in group and hasattr(cfg, key)
         }
         try:
-            load(cfg._replace(**others), random.Random())
+            load(cfg._replace(**cleared), random.Random())
         except errors.InvalidDocumentError as exc:
-            if any(alone.values()):
-                found += exc.faults
-    return found
+            if any(paths.values()):
+                all_faults += exc.faults
+    return all_faults
 
 
 def unprotected(
     cfg: settings.ControlSettings | settings.EntrySettings,
 ) -> list[str]:
-    """Return what anyone on the network may do with these settings."""
-    found = []
+    """Return a warning for each action that needs no authentication."""
+    warnings = []
     if not cfg.peer_key_file and not _is_loopback(cfg.gossip_address):
-        found.append("datagrams of anyone are believed; set peer_key_file")
+        warnings.append(
+            "datagrams of any sender are accepted; set peer_key_file"
+        )
     if not cfg.announce_token_file and not _is_loopback(cfg.http_address):
-        found.append("anyone may announce; set announce_token_file")
+        warnings.append("anyone may announce; set announce_token_file")
     tokens = getattr(cfg, "operators_token_file", "-")
     if not tokens and not _is_loopback(cfg.http_address):
-        found.append("anyone may edit the tables; set operators_token_file")
-    return found
+        warnings.append("anyone may edit the tables; set operators_token_file")
+    return warnings
 
 
 def _is_loopback(address: str) -> bool:
@@ -122,8 +136,8 @@
 ) -> rpc.Links:
     keyring = auth.load(cfg.peer_key_file, cfg.peer_key_required)
     if cfg.peer_key_file:
-        use = functools.partial(auth.reload, keyring, cfg.peer_key_file)
-        reloader.watch((cfg.peer_key_file,), use)
+        reload_keys = functools.partial(auth.reload, keyring, cfg.peer_key_file)
+        reloader.watch((cfg.peer_key_file,), reload_keys)
     links = rpc.Links(keyring, rng)
     if not cfg.peer_certificate_file:
         return links
--- a/hyssopfold/setting_fields.py
+++ b/hyssopfold/setting_fields.py
@@ -1,4 +1,4 @@
-"""Keys of the settings files: type, unit, default and what they are for."""
+"""Keys of the settings files: type, unit, default and help text."""
 
 from typing import NamedTuple
 
@@ -38,7 +38,7 @@
         "",
         True,
         "an IP address and port, IP:PORT",
-        help="where callers, backend servers and operators connect",
+        help="address to which callers, backend servers and operators connect",
     ),
     documents.Field(
         "log_level",
@@ -50,35 +50,36 @@
         "log_decision_sample",
         documents.number(int, 1, 1_000_000),
         1,
-        help="write one in this many decision lines",
+        help="write one in this many decision events to the log",
     ),
     documents.Field(
         "log_lines_per_s",
         documents.number(float, 1, 1_000_000),
         400.0,
         unit="lines a second",
-        help="most log lines that are written; failures go before successes,"
-        " and what is left out is counted. A line costs some 50 us: 400 are"
-        " 2 % of a core",
+        help="largest number of log lines to write; failed requests are written"
+        " before successful ones, and dropped lines are counted. A line costs"
+        " about 50 us of CPU time, so 400 take 2 % of a core",
     ),
     documents.Field(
         "metrics_address",
         documents.address,
         "",
-        help="where metrics and status are served beside http_address",
+        help="address that serves metrics and status in addition to"
+        " http_address",
     ),
     documents.Field(
         "stop_max_s",
         _SECONDS,
         3600.0,
         unit="s",
-        help="longest a planned stop waits for requests in flight",
+        help="longest time that a planned stop waits for requests in flight",
     ),
     documents.Field(
         "stop_second_signal",
         documents.string(choices=("cut", "wait")),
         "cut",
-        help="whether a second SIGTERM cuts what is in flight or is ignored",
+        help="whether a second SIGTERM cuts requests in flight or is ignored",
     ),
     documents.Field(
         "gossip_address",
@@ -86,41 +87,43 @@
         "",
         True,
         "an IP address and port, IP:PORT",
-        help="UDP address on which our processes exchange announcements",
+        help="UDP address on which instances exchange announcements",
     ),
     documents.Field(
         "gossip_seeds",
         documents.list_of(documents.address),
         (),
-        help="UDP addresses of some other processes of ours",
+        help="UDP addresses of some other instances",
     ),
     documents.Field(
         "lease_s",
         _SECONDS,
         4.0,
         unit="s",
-        help="time after which a silent server or entry is taken for gone",
+        help="time without announcements after which a server or entry is"
+        " removed",
     ),
     documents.Field(
         "peer_key_file",
         documents.string(max_length=4096),
         "",
-        help="file with the keys our processes share, one a line: the first"
-        " seals, all open; read again when it changes",
+        help="file with the keys that all instances share, one per line:"
+        " messages are signed with the first and accepted with any; read again"
+        " when it changes",
     ),
     documents.Field(
         "announce_token_file",
         documents.string(max_length=4096),
         "",
-        help="file with the tokens of backend servers, one a line, each good;"
-        " read again when it changes; left out, anyone may announce",
+        help="file with the valid tokens of backend servers, one per line; read"
+        " again when it changes; left out, anyone may announce",
     ),
     documents.Field(
         "tls_certificate_file",
         documents.string(max_length=4096),
         "",
         help="PEM certificate chain for http_address; read again when it"
-        " changes; left out, http_address speaks plain HTTP",
+        " changes; left out, http_address serves plain HTTP",
     ),
     documents.Field(
         "tls_key_file",
@@ -132,8 +135,8 @@
         "peer_certificate_file",
         documents.string(max_length=4096),
         "",
-        help="PEM certificate for rpc connections between our processes, which"
-        " then use mutual TLS; its names must hold the IP numbers",
+        help="PEM certificate for rpc connections between instances, which then"
+        " use mutual TLS; its subject names must include the IP addresses",
     ),
     documents.Field(
         "peer_certificate_key_file",
@@ -145,20 +148,20 @@
         "peer_issuers_file",
         documents.string(max_length=4096),
         "",
-        help="PEM certificates of who may issue peers' certificates",
+        help="PEM certificates of the CAs that may issue peers' certificates",
     ),
     documents.Field(
         "peer_key_required",
         documents.boolean,
         True,
-        help="refuse messages without a proof; false while keys are brought"
-        " to one process after another",
+        help="refuse messages without a signature; false while keys are rolled"
+        " out to the instances",
     ),
 )
 
 
 class Member(NamedTuple):
-    """A control instance as the settings of others name it."""
+    """A control instance as listed in the settings under `control`."""
 
     name: str
     rpc_address: str
@@ -178,14 +181,15 @@
     ),
     (),
     help="the control instances, each with name and rpc_address; left out"
-    " where `control_seeds` are given",
+    " if `control_seeds` is given",
 )
 _CONTROL_SEEDS = documents.Field(
     "control_seeds",
     documents.list_of(documents.address, 7),
     (),
-    help="rpc addresses of some control instances, in place of `control`:"
-    " the instances then find each other and let newcomers vote by themselves",
+    help="rpc addresses of some control instances, in place of `control`: the"
+    " instances then discover each other and add new ones as voters on their"
+    " own",
 )
 
 CONTROL_FIELDS = (
@@ -196,14 +200,14 @@
         "",
         True,
         "an IP address and port, IP:PORT",
-        help="where other processes of ours connect",
+        help="address to which other instances connect",
     ),
     documents.Field(
         "operators_token_file",
         documents.string(max_length=4096),
         "",
-        help="file with the operators' tokens, one a line, each good; read"
-        " again when it changes; left out, anyone may edit the tables",
+        help="file with the operators' valid tokens, one per line; read again"
+        " when it changes; left out, anyone may edit the tables",
     ),
     documents.Field(
         "data_folder",
@@ -211,7 +215,7 @@
         "",
         True,
         "a folder on this instance's disk",
-        help="folder that holds the durable state",
+        help="folder of the durable state",
     ),
     _MEMBERS,
     _CONTROL_SEEDS,
@@ -219,15 +223,15 @@
         "first_start",
         documents.boolean,
         True,
-        help="whether this is the first start of the whole system: only then"
-        " do blank control instances form a cluster",
+        help="whether this is the first start of the whole system: only then do"
+        " control instances without state form a cluster",
     ),
     documents.Field(
         "voters",
         documents.number(int, 1, 7),
         5,
-        help="how many control instances vote where `control_seeds` are"
-        " given; 5 bear the loss of two",
+        help="number of voting control instances if `control_seeds` is given; 5"
+        " tolerate the loss of two",
     ),
     documents.Field(
         "round_timeout_s",
@@ -241,7 +245,7 @@
         _SECONDS,
         8.0,
         unit="s",
-        help="time until an edit whose fate is open is answered `unknown`",
+        help="time until an edit whose outcome is open is answered `unknown`",
     ),
 )
 
@@ -251,47 +255,48 @@
         documents.number(int, 0, 1 << 50),
         16 * 1024**3,
         unit="bytes",
-        help="largest body taken from a caller",
+        help="largest request body accepted from a caller",
     ),
     documents.Field(
         "max_header_bytes",
         documents.number(int, 1024, 1 << 20),
         16_384,
         unit="bytes",
-        help="largest request line and headers taken from a caller",
+        help="largest request line and headers accepted from a caller",
     ),
     documents.Field(
         "header_timeout_s",
         _SECONDS,
         10.0,
         unit="s",
-        help="time for a caller to send a whole request head",
+        help="longest time for a caller to send a whole request head",
     ),
     documents.Field(
         "idle_timeout_s",
         _SECONDS,
         75.0,
         unit="s",
-        help="how long a caller's connection may wait between requests",
+        help="longest time that a caller's connection may be idle between"
+        " requests",
     ),
     documents.Field(
         "stall_timeout_s",
         _SECONDS,
         60.0,
         unit="s",
-        help="how long an upload or a download may make no progress",
+        help="longest time that an upload or a download may make no progress",
     ),
     documents.Field(
         "max_connections",
         documents.number(int, 1, 1_000_000),
         10_000,
-        help="callers' connections open at once",
+        help="largest number of open connections from callers",
     ),
     documents.Field(
         "max_connections_per_caller",
         documents.number(int, 1, 1_000_000),
         1_000,
-        help="connections open at once from one address",
+        help="largest number of open connections from one address",
     ),
 )
 
@@ -303,13 +308,13 @@
         "lookup_address",
         documents.address,
         "",
-        help="where look-ups are answered beside http_address",
+        help="address that answers look-ups in addition to http_address",
     ),
     documents.Field(
         "probe_address",
         documents.address,
         "",
-        help="where probes, status and metrics are answered beside"
+        help="address that answers probes, status and metrics in addition to"
         " http_address",
     ),
     documents.Field(
@@ -317,62 +322,62 @@
         documents.string(choices=("granted", "local")),
         "granted",
         help="`granted`: one entry of a region grants the slots of a pool to"
-        " all; `local`: each entry chooses by itself, by who handled an object"
-        " lately and by the load that servers tell",
+        " all; `local`: each entry chooses on its own, by which server handled"
+        " an object recently and by the load that servers report",
     ),
     documents.Field(
         "stop_serve_s",
         _SECONDS,
         None,
         unit="s",
-        help="how long a planned stop goes on taking new requests; left out,"
-        " until every look-up that may name this entry has expired",
+        help="how long a planned stop goes on accepting new requests; left out,"
+        " until every cached look-up that may name this entry has expired",
     ),
     documents.Field(
         "proven_connection_s",
         documents.number(float, 0, 60),
         0.0,
         unit="s",
-        help="for so long after a whole answer a connection to a server is"
-        " taken for alive, and carries what may not run twice; with 0 that"
-        " gets a new connection each time",
+        help="time after a whole answer for which a connection to a server"
+        " counts as alive and is reused for requests that must not run twice; with 0"
+        " each of these gets a new connection",
     ),
     documents.Field(
         "connect_timeout_s",
         _SECONDS,
         2.0,
         unit="s",
-        help="how long a new connection to a server may take; less than the"
+        help="longest time to open a connection to a server; less than the"
         " shortest deadline, so that another server can be tried, and more"
-        " than a round trip between the regions that lie furthest apart",
+        " than a round trip between the two most distant regions",
     ),
     documents.Field(
         "retry_share",
         documents.number(float, 0, 1),
         0.1,
         unit="share",
-        help="retries for each request of a pool",
+        help="retries allowed for each request of a pool",
     ),
     documents.Field(
         "shared_retry_reserve",
         documents.number(float, 0, 1_000_000),
         0.0,
-        help="retries of a pool that all entries together may save up; with 0"
-        " each entry saves up 10 of its own",
+        help="largest number of unused retries of a pool that all entries keep"
+        " together; with 0 each entry keeps 10 of its own",
     ),
     documents.Field(
         "rpc_address",
         documents.address,
         "",
-        help="where other entries may ask for a revision that control cannot"
-        " bring them; left out, this entry serves none",
+        help="address at which other entries may ask for a revision if they"
+        " cannot reach control; left out, this entry serves no revisions",
     ),
     documents.Field(
         "poll_s",
         documents.number(float, 0.1, 60),
         10.0,
         unit="s",
-        help="longest that a control instance holds a question for a newer"
+        help="longest time that a control instance holds a poll for a newer"
         " revision",
     ),
     documents.Field(
@@ -394,7 +399,7 @@
         "client_blocks",
         documents.string(max_length=4096),
         "",
-        help="file that `hyssopctl blocks build` wrote: the regions of client"
+        help="file written by `hyssopctl blocks build`: the regions of client"
         " addresses; without it a caller's home is the region of the entry it"
         " asks",
     ),
--- a/hyssopfold/settings.py
+++ b/hyssopfold/settings.py
@@ -1,4 +1,7 @@
-"""Settings of a process, declared with type, unit and default in one place."""
+"""Settings of a process: their types and the checks of settings files.
+
+`setting_fields` declares units, defaults and help texts.
+"""
 
 from collections.abc import Mapping
 import pathlib
@@ -97,7 +100,7 @@
 
     @property
     def limits(self) -> serving.Limits:
-        """Return what one caller may take."""
+        """Return the limits on callers' connections and requests."""
         return serving.Limits(
             header_bytes=self.max_header_bytes,
             header_s=self.header_timeout_s,
@@ -109,7 +112,10 @@
 
 
 def load_control(path: str) -> ControlSettings:
-    """Return the checked settings of a control instance.
+    """Load and check the settings of a control instance.
+
+    Args:
+        path: YAML file.
 
     Raises:
         InvalidDocumentError: listing every fault with file and line.
@@ -118,26 +124,35 @@
 
 
 def parse_control(text: str, source: str) -> ControlSettings:
-    """Return the checked settings of a control instance, from their text.
+    """Parse and check the settings of a control instance.
+
+    Args:
+        text: YAML text.
+        source: Name of the text in faults.
 
     Raises:
         InvalidDocumentError: listing every fault with its line.
     """
     reader, values = _parse(text, source, setting_fields.CONTROL_FIELDS)
     _check_common(reader, values)
-    addresses = {one.name: one.rpc_address for one in values["control"]}
-    name, mine = values["name"], values["rpc_address"]
+    addresses = {
+        member.name: member.rpc_address for member in values["control"]
+    }
+    name, rpc_address = values["name"], values["rpc_address"]
     if addresses and name and name not in addresses:
-        _fault(reader, "control", f"a list without {name}", "this one too")
-    elif mine and addresses.get(name, mine) != mine:
+        _fault(reader, "control", f"a list without {name}", "this instance too")
+    elif rpc_address and addresses.get(name, rpc_address) != rpc_address:
         allowed = f"{addresses[name]}, as under control"
-        _fault(reader, "rpc_address", mine, allowed)
+        _fault(reader, "rpc_address", rpc_address, allowed)
     reader.raise_faults()
     return ControlSettings(**values)
 
 
 def load_entry(path: str) -> EntrySettings:
-    """Return the checked settings of an entry.
+    """Load and check the settings of an entry.
+
+    Args:
+        path: YAML file.
 
     Raises:
         InvalidDocumentError: listing every fault with file and line.
@@ -146,7 +161,11 @@
 
 
 def parse_entry(text: str, source: str) -> EntrySettings:
-    """Return the checked settings of an entry, from their text.
+    """Parse and check the settings of an entry.
+
+    Args:
+        text: YAML text.
+        source: Name of the text in faults.
 
     Raises:
         InvalidDocumentError: listing every fault with its line.
@@ -164,7 +183,7 @@
     reader.add_fault_at(reader.lines.get(where, 1), where, value, allowed)
 
 
-_TOGETHER = (
+_KEYS_SET_TOGETHER = (
     ("tls_certificate_file", "tls_key_file"),
     (
         "peer_certificate_file",
@@ -175,28 +194,32 @@
 
 
 def _check_common(reader: documents.Reader, values: dict[str, Any]) -> None:
-    """Note faults between keys, for every daemon."""
+    """Record faults between keys that both daemons have."""
     if bool(values["control"]) == bool(values["control_seeds"]):
-        found = "both" if values["control"] else "neither is given"
+        given = "both" if values["control"] else "neither is given"
         allowed = "the members under control, or control_seeds"
-        _fault(reader, "control", found, allowed)
+        _fault(reader, "control", given, allowed)
     names = [member.name for member in values["control"]]
     addresses = [member.rpc_address for member in values["control"]]
-    for kind, held in (("name", names), ("rpc_address", addresses)):
-        for twice in sorted({one for one in held if held.count(one) > 1}):
-            value = f"{kind} {twice} twice"
+    for field, values_of_key in (("name", names), ("rpc_address", addresses)):
+        for duplicate in sorted(
+            {item for item in values_of_key if values_of_key.count(item) > 1}
+        ):
+            value = f"{field} {duplicate} twice"
             _fault(reader, "control", value, "each member once")
     if values["http_address"] == values["rpc_address"] != "":
         allowed = "an address other than http_address"
         _fault(reader, "rpc_address", values["rpc_address"], allowed)
-    for keys in _TOGETHER:
+    for keys in _KEYS_SET_TOGETHER:
         if any(values[key] for key in keys):
             for key in keys:
                 if not values[key]:
                     allowed = f"a file, as {' and '.join(keys)} go together"
                     _fault(reader, key, "(missing)", allowed)
     if values["lease_s"] < MIN_LEASE_S:
-        allowed = f"{MIN_LEASE_S:g} or more: a word comes each second"
+        allowed = (
+            f"{MIN_LEASE_S:g} or more: announcements are sent once a second"
+        )
         _fault(reader, "lease_s", f"{values['lease_s']:g}", allowed)
 
 
--- a/hyssopfold/settings_source.py
+++ b/hyssopfold/settings_source.py
@@ -1,4 +1,4 @@
-"""Where a process got its settings, to read them again while it runs."""
+"""Reads the settings of a running process again from their file."""
 
 from collections.abc import Callable
 import logging
@@ -11,7 +11,7 @@
 
 
 class Source(NamedTuple):
-    """A settings file and how to read it.
+    """A settings file and the function that loads it.
 
     `load` raises `InvalidDocumentError` when the file cannot be used.
     """
@@ -21,44 +21,48 @@
 
 
 class SettingsReloader:
-    """Put settings in force that may change while a process runs.
+    """Applies the settings that may change while a process runs.
 
     Args:
         cfg: Settings that the process started with.
-        source: Where to read them again.
-        uses: For each key that may change, what takes its new value.
+        source: File to read them from again.
+        setters: Function that applies a new value, for each key that may
+            change.
     """
 
     def __init__(
         self,
         cfg: Any,
         source: Source,
-        uses: dict[str, Callable[[Any], None]],
+        setters: dict[str, Callable[[Any], None]],
     ) -> None:
         self._cfg = cfg
         self._source = source
-        self._uses = uses
+        self._setters = setters
 
     def reload(self) -> None:
-        """Read the settings again; keep the old ones if they are faulty.
+        """Read the settings again and apply the changes.
+
+        The old settings stay in force if the file cannot be used; changes of
+        other keys take effect at the next start.
 
         Raises:
             InvalidDocumentError: when the file cannot be used.
         """
-        new = self._source.load()
+        new_cfg = self._source.load()
         changed = {
             key: value
-            for key, value in new._asdict().items()
+            for key, value in new_cfg._asdict().items()
             if getattr(self._cfg, key) != value
         }
-        for key in changed.keys() & self._uses.keys():
-            self._uses[key](changed[key])
-        self._cfg = new
-        waiting = sorted(changed.keys() - self._uses.keys())
+        for key in changed.keys() & self._setters.keys():
+            self._setters[key](changed[key])
+        self._cfg = new_cfg
+        needs_restart = sorted(changed.keys() - self._setters.keys())
         logger.info(
             logs.Event(
                 "settings-reloaded",
                 changed=",".join(sorted(changed)) or "nothing",
-                at_restart=",".join(waiting) or "nothing",
+                at_restart=",".join(needs_restart) or "nothing",
             )
         )
--- a/hyssopfold/supervisor.py
+++ b/hyssopfold/supervisor.py
@@ -1,4 +1,4 @@
-"""Supervised tasks: restart with back-off, give up when one keeps failing."""
+"""Supervises tasks: restarts a failed task, gives up when it keeps failing."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -19,10 +19,11 @@
 
 
 def _is_final(exc: Exception) -> bool:
-    """Return whether a restart cannot help, or must not be tried.
+    """Return whether a child must not be restarted after an error.
 
-    It cannot free a port that another process holds, and must not let a member
-    vote on from a state that is broken. A child's nursery wraps such errors.
+    A restart does not free a port that another process uses, and a member must
+    not go on voting from an invalid state. A nursery of the child may wrap such
+    errors in an exception group.
     """
     if isinstance(exc, ExceptionGroup):
         return any(_is_final(inner) for inner in exc.exceptions)
@@ -39,7 +40,7 @@
 
     Args:
         name: Name of the child in logs.
-        child: Task to run; returning means its work is done.
+        child: Task to run; its work is done when it returns.
         rng: Source of the jitter between restarts.
         max_restarts: Failures allowed within `WINDOW_S` seconds.
 
@@ -55,7 +56,11 @@
             if _is_final(exc):
                 raise
             now = trio.current_time()
-            failures = [at for at in failures if now - at < WINDOW_S] + [now]
+            failures = [
+                failed_at
+                for failed_at in failures
+                if now - failed_at < WINDOW_S
+            ] + [now]
             logger.exception(
                 logs.Event("child-failed", child=name, failures=len(failures))
             )
--- a/tests/steps/request_log_steps.py
+++ b/tests/steps/request_log_steps.py
@@ -137,7 +137,7 @@
                 at = 1000.5 + second
                 # The busier one serves others beside.
                 for _ in range(busy - 1):
-                    sampler.keeps(f"other {number}", 4, at)
+                    sampler.should_write(f"other {number}", 4, at)
                 _end(sampler, logger, f"r{number}", True, at)
         context.kept_by.append(set(logger.handlers[0].requests))
 
--- a/tests/steps/security_steps.py
+++ b/tests/steps/security_steps.py
@@ -361,7 +361,7 @@
     assert "16 letters or more" in keys, keys
     assert "tooshort" not in keys, keys
     assert "readable" in token, token
-    assert "whose certificate and key fit" in certificate, certificate
+    assert "whose certificate and key match" in certificate, certificate
 
 
 class SealedSystem(loopback.System):
