--- a/hyssopfold/cmd/losses.py
+++ b/hyssopfold/cmd/losses.py
@@ -1,4 +1,4 @@
-"""Which requests missed their goal, and why, as the logs of entries tell."""
+"""Summarizes from the logs of entries which requests missed their goal."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -12,16 +12,16 @@
 
 Fields = Mapping[str, str]
 
-# Requests whose lines have begun and not ended; an entry writes the lines of a
-# request together, so that more only come of torn logs.
-MAX_OPEN = 10_000
-# A wait counts as the cause when it took this share of the goal or more.
+# Largest number of requests without a line for their end. An entry writes the
+# lines of a request together, so more come only from truncated logs.
+MAX_OPEN_REQUESTS = 10_000
+# A wait counts as the cause if it took this share of the goal or more.
 CAUSE_SHARE = 0.2
-NOT_KNOWN = "not known"
+UNKNOWN_CAUSE = "not known"
 
 
 class Row(NamedTuple):
-    """One group of misses: when, where, of what, and why."""
+    """A group of misses with the same second, instance, route and cause."""
 
     second: str
     instance: str
@@ -30,17 +30,17 @@
 
 
 class Losses(NamedTuple):
-    """Misses by row, and how many requests' ends were read in all."""
+    """Number of misses by row, and number of requests that ended."""
 
     misses: Counter[Row]
     ended: int
 
 
-class Gatherer:
-    """Take in lines of any logs, one by one, and count the misses.
+class LossCounter:
+    """Counts the misses in log lines that are added one by one.
 
-    Lines that are none of ours, or torn, are passed over. Memory does not grow
-    with the length of the logs, but with the seconds and routes in them.
+    Foreign and truncated lines are ignored. Memory does not grow with the
+    length of the logs, but with the number of seconds and routes in them.
     """
 
     def __init__(self) -> None:
@@ -49,42 +49,42 @@
         self._open: dict[tuple[str, str], dict[str, Fields]] = {}
 
     @property
-    def held(self) -> int:
-        """Return how many requests are held whose end was not read."""
+    def open_count(self) -> int:
+        """Return the number of requests without a line for their end."""
         return len(self._open)
 
-    def take(self, text: str) -> None:
-        """Take in one line."""
+    def process_line(self, text: str) -> None:
+        """Update the counts with one line."""
         fields = _read(text)
         request, event = fields.get("request"), fields.get("event")
         if not request or not event:
             return
         key = (fields.get("instance", ""), request)
-        held = self._open.setdefault(key, {})
-        held[event] = fields
+        events = self._open.setdefault(key, {})
+        events[event] = fields
         if event == "ended":
             del self._open[key]
-            self._end(held)
-        elif len(self._open) > MAX_OPEN:
+            self._end(events)
+        elif len(self._open) > MAX_OPEN_REQUESTS:
             del self._open[next(iter(self._open))]
 
-    def _end(self, held: Mapping[str, Fields]) -> None:
+    def _end(self, events: Mapping[str, Fields]) -> None:
         self._ended += 1
-        cause = cause_of(held)
+        cause = cause_of(events)
         if cause:
-            self._misses[_row(held, cause)] += 1
+            self._misses[_row(events, cause)] += 1
 
     def losses(self) -> Losses:
-        """Return what the lines told so far."""
+        """Return the misses in the lines so far."""
         return Losses(self._misses, self._ended)
 
 
 def gather(texts: Iterable[str]) -> Losses:
-    """Return the misses that the lines of some logs tell of."""
-    gatherer = Gatherer()
+    """Return the misses in the lines of some logs."""
+    counter = LossCounter()
     for text in texts:
-        gatherer.take(text)
-    return gatherer.losses()
+        counter.process_line(text)
+    return counter.losses()
 
 
 def _read(text: str) -> Fields:
@@ -93,45 +93,45 @@
     try:
         return logs.parse_line(text)
     except ValueError:
-        # A torn line; its request counts as far as its other lines tell.
+        # A truncated line: the request is judged by its other lines.
         return {}
 
 
-def _row(held: Mapping[str, Fields], cause: str) -> Row:
-    ended = held["ended"]
+def _row(events: Mapping[str, Fields], cause: str) -> Row:
+    ended = events["ended"]
     second = ended.get("time", "")[:19]
-    route = held.get("admitted", {}).get("route", "")
+    route = events.get("admitted", {}).get("route", "")
     return Row(second, ended.get("instance", ""), route, cause)
 
 
-def cause_of(held: Mapping[str, Fields]) -> str:
+def cause_of(events: Mapping[str, Fields]) -> str:
     """Return why a request missed its goal, or "" when it did not.
 
     Args:
-        held: Its last line of each event.
+        events: Fields of its last line of each event.
     """
-    ended = held["ended"]
-    if "refused" in held:
-        return _refused(held)
+    ended = events["ended"]
+    if "refused" in events:
+        return _refusal_cause(events)
     outcome = ended.get("outcome", "")
     if outcome == "caller-gone":
         return "caller left"
     if outcome != "answered":
-        return f"answer {outcome}" if outcome == "cut" else NOT_KNOWN
+        return f"answer {outcome}" if outcome == "cut" else UNKNOWN_CAUSE
     if ended.get("status", "").startswith("5"):
         return "server failed"
     took_s, goal_s = _number(ended, "took_s"), _number(ended, "goal_s")
     if not goal_s or took_s <= goal_s:
         return ""
-    return _late(held, took_s, goal_s)
+    return _late_cause(events, took_s, goal_s)
 
 
-def _refused(held: Mapping[str, Fields]) -> str:
-    error = held["refused"].get("error", "?")
+def _refusal_cause(events: Mapping[str, Fields]) -> str:
+    error = events["refused"].get("error", "?")
     if error == "no-route":
-        # Nothing that could have been served.
+        # Such a request could not have been served.
         return ""
-    decision = held.get("routing-decision")
+    decision = events.get("routing-decision")
     if error == "deadline-passed" and decision is not None:
         if _number(decision, "load") >= 1:
             return "limit passed in a server's queue"
@@ -139,14 +139,16 @@
     return f"refused: {error}"
 
 
-def _late(held: Mapping[str, Fields], took_s: float, goal_s: float) -> str:
-    """Return why an answer came late: the first part that explains it."""
-    ended, decision = held["ended"], held.get("routing-decision")
-    attempt = held.get("attempt-ended")
+def _late_cause(
+    events: Mapping[str, Fields], took_s: float, goal_s: float
+) -> str:
+    """Return why an answer was late: the first delay that explains it."""
+    ended, decision = events["ended"], events.get("routing-decision")
+    attempt = events.get("attempt-ended")
     if _number(ended, "behind_s") >= CAUSE_SHARE * goal_s:
         return "late: stood behind others on its connection"
     if decision is None or attempt is None:
-        return NOT_KNOWN
+        return UNKNOWN_CAUSE
     if decision.get("attempt", "1") != "1":
         return "late: sent twice"
     at_server_s = _number(attempt, "took_s")
@@ -164,18 +166,18 @@
         return 0.0
 
 
-def lines(found: Losses, as_json: bool) -> Iterator[str]:
-    """Yield the misses as a table by cause, or as a JSON object a row."""
+def lines(losses: Losses, as_json: bool) -> Iterator[str]:
+    """Yield the misses as a table by cause, or as one JSON object per row."""
     if as_json:
-        for row, count in sorted(found.misses.items()):
+        for row, count in sorted(losses.misses.items()):
             fields = {**row._asdict(), "count": count}
             yield msgspec.json.encode(fields).decode()
         return
-    total = sum(found.misses.values())
-    yield f"{found.ended} requests ended, {total} missed their goal"
+    total = sum(losses.misses.values())
+    yield f"{losses.ended} requests ended, {total} missed their goal"
     by_cause: Counter[str] = Counter()
     by_second: Counter[str] = Counter()
-    for row, count in found.misses.items():
+    for row, count in losses.misses.items():
         by_cause[row.cause] += count
         by_second[row.second] += count
     for cause, count in by_cause.most_common():
--- a/tests/steps/cmd/losses_steps.py
+++ b/tests/steps/cmd/losses_steps.py
@@ -90,11 +90,11 @@
 
 @when("the losses of {count:d} requests without an end are gathered")
 def _(context, count):
-    gatherer = losses.Gatherer()
+    counter = losses.LossCounter()
     context.loss_open = 0
     for number in range(count):
-        gatherer.take(_line("admitted", f"r{number}", "route=all"))
-        context.loss_open = max(context.loss_open, gatherer.held)
+        counter.process_line(_line("admitted", f"r{number}", "route=all"))
+        context.loss_open = max(context.loss_open, counter.open_count)
 
 
 @then("at most {most:d} requests were held at once")
