--- a/hyssopfold/cmd/__init__.py
+++ b/hyssopfold/cmd/__init__.py
@@ -1,1 +1,1 @@
-"""Thin commands, one module for each program."""
+"""Command lines, one module for each program."""
--- a/hyssopfold/cmd/ctl.py
+++ b/hyssopfold/cmd/ctl.py
@@ -53,7 +53,7 @@
 def cli(
     context: click.Context, urls: tuple[str, ...], token_file: str | None
 ) -> None:
-    """Edit the two tables and see what the system makes of them."""
+    """Edit the tables of routes and pools and show their effect."""
     token = ""
     if token_file:
         token = pathlib.Path(token_file).read_text(encoding="utf-8").strip()
@@ -69,17 +69,19 @@
 @click.pass_obj
 def get_tables(client: control_client.Client) -> None:
     """Print the tables in force as YAML."""
-    click.echo(_shown(client.get(_TABLES).body), nl=False)
+    click.echo(_format_tables(client.get(_TABLES).body), nl=False)
 
 
-def _shown(body: dict[str, Any]) -> str:
-    """Return the tables as `apply` takes them back.
+def _format_tables(body: dict[str, Any]) -> str:
+    """Return tables as YAML that `apply` accepts.
 
-    Failure domains that are evacuated belong to no version of the tables: they
-    stand above them, and stay evacuated whatever tables are applied.
+    Evacuated failure domains are written as comments: they belong to no version
+    of the tables and stay evacuated whatever tables are applied.
     """
-    rows = {key: value for key, value in body.items() if key != "evacuated"}
-    text: str = yaml.safe_dump(rows, sort_keys=False)
+    table_rows = {
+        key: value for key, value in body.items() if key != "evacuated"
+    }
+    text: str = yaml.safe_dump(table_rows, sort_keys=False)
     for domain in body.get("evacuated", ()):
         text = (
             f"# evacuated: {domain} (end it: evacuate {domain} --end)\n{text}"
@@ -97,13 +99,15 @@
 
 @tables.command("apply")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("--expect", type=int, required=True, help="Revision edited.")
-@click.option("--change-id", help="Name of this edit; made up when left out.")
+@click.option(
+    "--expect", type=int, required=True, help="Revision that was edited."
+)
+@click.option("--change-id", help="ID of this edit; generated when left out.")
 @click.pass_obj
 def apply_tables(
     client: control_client.Client, file: str, expect: int, change_id: str | None
 ) -> None:
-    """Put a tables file in force if the revision is still the one edited."""
+    """Put a tables file in force if the revision has not changed since."""
     text = _parse(file)
     change_id = change_id or _new_change_id()
     body = {"expect": expect, "change_id": change_id, "tables": text}
@@ -127,21 +131,24 @@
         )
     if body["changing_members"]:
         click.echo("a change of members is under way")
-    for one in body["instances"]:
-        click.echo(_describe(one))
+    for instance in body["instances"]:
+        click.echo(_describe(instance))
     for line in status_module.status_lines(status_module.gather(client)):
         click.echo(line)
     if not body["confirmed"]:
         sys.exit(1)
 
 
-def _describe(one: dict[str, Any]) -> str:
-    votes = "votes" if one["votes"] else "does not vote"
-    line = f"{one['name']} {one['address']} {votes} revision {one['revision']}"
-    if one["behind"]:
-        line += f", {one['behind']} behind"
-    if one["fault"]:
-        line += f": {one['fault']}"
+def _describe(instance: dict[str, Any]) -> str:
+    votes = "votes" if instance["votes"] else "does not vote"
+    line = (
+        f"{instance['name']} {instance['address']} {votes}"
+        f" revision {instance['revision']}"
+    )
+    if instance["behind"]:
+        line += f", {instance['behind']} behind"
+    if instance["fault"]:
+        line += f": {instance['fault']}"
     return line
 
 
@@ -154,7 +161,7 @@
 @click.argument("name")
 @click.pass_obj
 def add_member(client: control_client.Client, name: str) -> None:
-    """Let a running control instance vote; it must have caught up."""
+    """Make a running control instance a voter; its state must be current."""
     reply = client.put(_MEMBERS + urllib.parse.quote(name, safe=""), {})
     _show_members(reply, name)
 
@@ -163,7 +170,7 @@
 @click.argument("name")
 @click.pass_obj
 def remove_member(client: control_client.Client, name: str) -> None:
-    """Let a control instance vote no more."""
+    """Remove a control instance from the voters."""
     path = _MEMBERS + urllib.parse.quote(name, safe="")
     _show_members(client.delete(path, name), name)
 
@@ -173,9 +180,9 @@
 @click.argument("new")
 @click.pass_obj
 def replace_member(client: control_client.Client, old: str, new: str) -> None:
-    """Let NEW vote in place of OLD: add the one, then remove the other.
+    """Make NEW a voter in place of OLD: add NEW, then remove OLD.
 
-    An instance that comes back blank under its old name needs no command.
+    An instance that restarts without state under its old name needs no command.
     """
     path = _MEMBERS + urllib.parse.quote(new, safe="")
     _show_members(client.put(path, {}), new)
@@ -197,22 +204,22 @@
     body = client.get_confirmed(_BACKUP).body
     path = pathlib.Path(file)
     path.write_text(json.dumps(body, indent=1) + "\n", encoding="utf-8")
-    sure = "confirmed by a majority" if body["confirmed"] else "NOT confirmed"
-    click.echo(f"{file}: revision {body['revision']}, {sure}")
+    confirmation = (
+        "confirmed by a majority" if body["confirmed"] else "NOT confirmed"
+    )
+    click.echo(f"{file}: revision {body['revision']}, {confirmation}")
 
 
 @cli.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option(
-    "--expect", type=int, default=0, help="Revision that is replaced."
-)
+@click.option("--expect", type=int, default=0, help="Revision to replace.")
 @click.option(
     "--above",
     type=int,
     required=True,
     help="Highest revision that any entry has in force.",
 )
-@click.option("--change-id", help="Name of this edit; made up when left out.")
+@click.option("--change-id", help="ID of this edit; generated when left out.")
 @click.pass_obj
 def restore(
     client: control_client.Client,
@@ -221,14 +228,14 @@
     above: int,
     change_id: str | None,
 ) -> None:
-    """Put a backup in force, under a revision that all entries take."""
-    held = _read_backup(file)
+    """Put a backup in force, under a revision that all entries accept."""
+    backup_fields = _read_backup(file)
     change_id = change_id or _new_change_id()
     body = {
         "expect": expect,
         "change_id": change_id,
-        "floor": max(above, held["revision"]) + 1,
-        "state": held["state"],
+        "floor": max(above, backup_fields["revision"]) + 1,
+        "state": backup_fields["state"],
     }
     reply = client.put(_BACKUP, body)
     _raise_refusal(reply, file)
@@ -238,10 +245,10 @@
 
 def _read_backup(file: str) -> dict[str, Any]:
     try:
-        held = json.loads(pathlib.Path(file).read_text(encoding="utf-8"))
-        if held["format"] == state_answers.BACKUP_FORMAT:
-            int(held["revision"])
-            return dict(held, state=str(held["state"]))
+        fields = json.loads(pathlib.Path(file).read_text(encoding="utf-8"))
+        if fields["format"] == state_answers.BACKUP_FORMAT:
+            int(fields["revision"])
+            return dict(fields, state=str(fields["state"]))
     except (ValueError, KeyError, TypeError):
         pass
     fault = errors.Fault(
@@ -251,7 +258,7 @@
 
 
 def _new_change_id() -> str:
-    # Whoever loses a race is told the winner's change id: let it say who.
+    # The loser of a conflict sees the winner's change ID, so it names the user.
     try:
         name = getpass.getuser()
     except (KeyError, OSError):
@@ -262,7 +269,7 @@
 @cli.command()
 @click.pass_obj
 def drains(client: control_client.Client) -> None:
-    """Show who is being emptied, what is left, and whether it is empty."""
+    """Show the servers being drained, their requests left and whether empty."""
     for line in status_module.drain_lines(status_module.gather(client)):
         click.echo(line)
 
@@ -283,12 +290,12 @@
 
 @cli.command("evacuate")
 @click.argument("failure_domain")
-@click.option("--end", is_flag=True, help="Let it have work again.")
+@click.option("--end", is_flag=True, help="End the evacuation.")
 @click.pass_obj
 def evacuate(
     client: control_client.Client, failure_domain: str, end: bool
 ) -> None:
-    """Give no more work to the servers of a failure domain, at once."""
+    """Stop sending requests to the servers of a failure domain, at once."""
     path = _EVACUATIONS + urllib.parse.quote(failure_domain, safe="")
     if end:
         reply = client.delete(path, failure_domain)
@@ -296,15 +303,15 @@
         reply = client.put(path, {"change_id": failure_domain})
     if reply.status != 200:
         _raise_refusal(reply, failure_domain)
-    word = "has work again" if end else "is evacuated"
-    click.echo(f"{failure_domain} {word}: revision {reply.body['revision']}")
+    state = "has work again" if end else "is evacuated"
+    click.echo(f"{failure_domain} {state}: revision {reply.body['revision']}")
 
 
 @cli.command("explain")
 @click.argument("request_id")
 @click.argument("files", nargs=-1, type=click.File(encoding="utf-8"))
 def explain(request_id: str, files: tuple[TextIO, ...]) -> None:
-    """Gather a request's lines from logs and say why it ended so."""
+    """Print a request's lines from logs and why it ended as it did."""
     texts = itertools.chain.from_iterable(files)
     lines = explain_module.gather(request_id, texts)
     for line in lines:
@@ -314,15 +321,15 @@
 
 @cli.command("losses")
 @click.argument("files", nargs=-1, type=click.File(errors="replace"))
-@click.option("--json", "as_json", is_flag=True, help="For programs.")
+@click.option("--json", "as_json", is_flag=True, help="Print JSON objects.")
 def losses(files: tuple[TextIO, ...], as_json: bool) -> None:
-    """Tell from logs which requests missed their goal, and why.
+    """Summarize from logs which requests missed their goal, and why.
 
     Reads standard input when no files are named.
     """
     texts = itertools.chain.from_iterable(files or (sys.stdin,))
-    found = losses_module.gather(texts)
-    for line in losses_module.lines(found, as_json):
+    summary = losses_module.gather(texts)
+    for line in losses_module.lines(summary, as_json):
         click.echo(line)
 
 
@@ -343,7 +350,7 @@
 
 
 def main() -> None:
-    """Run the command; exit with the status its errors name."""
+    """Run the command; exit with the status of its error, if any."""
     try:
         cli()
     except errors.InvalidDocumentError as exc:
--- a/hyssopfold/cmd/daemon.py
+++ b/hyssopfold/cmd/daemon.py
@@ -1,4 +1,4 @@
-"""What the daemons' commands have in common."""
+"""Startup and error reports shared by the daemons' commands."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -14,9 +14,10 @@
 from hyssopfold import errors
 from hyssopfold import security
 
-# Objects made between two searches for garbage, and searches of each age
-# between two of the next. A request makes some thousand objects and few cycles,
-# so that the usual 700 search ten times a request and find nothing.
+# Allocations between two collections of the youngest generation, and
+# collections of each generation between two of the next. A request allocates
+# several thousand objects and few cycles, so the default of 700 would collect
+# ten times a request and find nothing.
 _GC_THRESHOLDS = (20_000, 10, 10)
 
 
@@ -26,7 +27,16 @@
     path: str,
     check: bool,
 ) -> None:
-    """Check the settings, then run the daemon; exit with what it came to."""
+    """Check the settings, then run the daemon.
+
+    Exits the process with the status of an error.
+
+    Args:
+        load: Loads the settings file.
+        main: Main task of the daemon.
+        path: Settings file.
+        check: Return after the check of the settings.
+    """
     try:
         cfg = load(path)
         faults = security.faults(cfg)
@@ -36,14 +46,14 @@
         for fault in exc.faults:
             click.echo(str(fault), err=True)
         sys.exit(exc.exit_status)
-    for danger in security.unprotected(cfg):
-        click.echo(f"unprotected: {danger}", err=True)
+    for warning in security.unprotected(cfg):
+        click.echo(f"unprotected: {warning}", err=True)
     if check:
         click.echo(f"{path}: settings are good")
         return
-    # Where a process stands that answers no more: `kill -USR1` prints it.
+    # `kill -USR1` prints the stack of a process that no longer responds.
     faulthandler.register(signal.SIGUSR1)
-    _settle_memory()
+    _configure_garbage_collection()
     try:
         trio.run(main, cfg)
     except BaseExceptionGroup as group:
@@ -52,8 +62,8 @@
         sys.exit(report(exc))
 
 
-def _settle_memory() -> None:
-    """Leave what the modules made out of the search for garbage."""
+def _configure_garbage_collection() -> None:
+    """Exclude the objects of loaded modules; set the thresholds."""
     gc.collect()
     gc.freeze()
     gc.set_threshold(*_GC_THRESHOLDS)
--- a/hyssopfold/cmd/explain.py
+++ b/hyssopfold/cmd/explain.py
@@ -1,4 +1,4 @@
-"""What the logs of several processes tell of one request, and its cause."""
+"""Finds a request's lines in the logs of several processes and its cause."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -11,7 +11,7 @@
 
 
 class Line(NamedTuple):
-    """A log line about the request: its time, its fields, its text."""
+    """A log line of the request: its time, fields and text."""
 
     time: str
     fields: Fields
@@ -22,44 +22,57 @@
     """Return the lines of a request from any logs, in order of time.
 
     Args:
-        request_id: The request's id.
-        texts: Lines of logs, whatever stands before their `time=`.
+        request_id: The request's ID.
+        texts: Lines of logs; text before their `time=` is ignored.
     """
-    found = []
+    lines = []
     for text in texts:
         if request_id not in text:
             continue
         fields = logs.parse_line(text)
         if fields.get("request") == request_id:
-            found.append(Line(fields.get("time", ""), fields, text.rstrip()))
-    return sorted(found, key=lambda line: line.time)
+            lines.append(Line(fields.get("time", ""), fields, text.rstrip()))
+    return sorted(lines, key=lambda line: line.time)
 
 
 def cause(lines: Sequence[Line]) -> str:
-    """Return in one sentence why a request ended as it did."""
+    """Return in one sentence why a request ended as it did.
+
+    Args:
+        lines: The request's lines, in order of time.
+    """
     if not lines:
-        return "No line tells of this request: no entry got it, or its lines were left out or lost with their process."
-    of = {line.fields["event"]: line.fields for line in lines}
-    ended = of.get("ended")
+        return (
+            "No log line mentions this request: no entry received it, or its"
+            " lines were dropped or lost with their process."
+        )
+    events = {line.fields["event"]: line.fields for line in lines}
+    ended = events.get("ended")
     if ended is None:
-        where = lines[-1].fields.get("instance", "?")
-        return f"Its end is not told: {where} ended or was cut off before."
-    if "refused" in of:
-        return _refused(of["refused"], of)
+        instance = lines[-1].fields.get("instance", "?")
+        return (
+            f"No log line records its end: {instance} ended or was cut off"
+            " before."
+        )
+    if "refused" in events:
+        return _refusal(events["refused"], events)
     if ended.get("outcome") == "caller-gone":
-        return f"Its caller left after {ended.get('took_s')} s, {_last(of)}."
+        return (
+            f"Its caller left after {ended.get('took_s')} s,"
+            f" {_last_attempt(events)}."
+        )
     if ended.get("outcome") == "cut":
-        return f"Its answer broke off: {_detail(of)}."
+        return f"Its answer broke off: {_failure(events)}."
     status = ended.get("status", "?")
     took = ended.get("took_s", "?")
     return (
         f"It was answered with {status} after {took} s,"
-        f"{_behind(ended)} {_last(of)}."
+        f"{_wait(ended)} {_last_attempt(events)}."
     )
 
 
-def _behind(ended: Fields) -> str:
-    """Return how long a request stood behind others of its connection."""
+def _wait(ended: Fields) -> str:
+    """Return how long a request waited behind others of its connection."""
     ahead = ended.get("ahead", "0")
     if ahead == "0":
         return ""
@@ -67,49 +80,53 @@
     return f" of these {behind} s behind {ahead} others of its connection,"
 
 
-def _refused(refused: Fields, of: Mapping[str, Fields]) -> str:
+def _refusal(refused: Fields, events: Mapping[str, Fields]) -> str:
     error = refused.get("error", "")
-    held = f"held {refused.get('held_s', '?')} s"
-    pool = of.get("admitted", {}).get("pool", "?")
+    duration = f"held {refused.get('held_s', '?')} s"
+    pool = events.get("admitted", {}).get("pool", "?")
     if refused.get("outcome") == "unknown":
         return (
-            f"It may have run and got no whole answer ({error}, {held}):"
-            f" {_last(of)}, {_detail(of)}."
+            f"It may have run and got no whole answer ({error}, {duration}):"
+            f" {_last_attempt(events)}, {_failure(events)}."
         )
     reasons = {
         "no-slot": f"all servers of {pool} that may serve it were full",
         "no-server": f"no server of {pool} may serve it now",
-        "no-tables": "the entry had learned no tables yet",
-        "tables-behind": "no route matched, and newer tables were on the way",
-        "no-route": f"no route matches at version {_version(of)}",
-        "deadline-passed": f"no server took it in time, {_last(of)}",
+        "no-tables": "the entry had not received any tables yet",
+        "tables-behind": "no route matched, and newer tables were to come",
+        "no-route": f"no route matches at version {_version(events)}",
+        "deadline-passed": (
+            f"no server accepted it in time, {_last_attempt(events)}"
+        ),
         "quarantined": f"several servers of {pool} crashed under it before",
-        "attempt-failed": f"each attempt failed without a run, {_detail(of)}",
+        "attempt-failed": (
+            f"each attempt failed without a run, {_failure(events)}"
+        ),
     }
     reason = reasons.get(error, refused.get("detail", error))
-    return f"It was refused and did not run ({error}, {held}): {reason}."
+    return f"It was refused and did not run ({error}, {duration}): {reason}."
 
 
-def _version(of: Mapping[str, Fields]) -> str:
-    return of.get("admitted", {}).get("version", "?")
+def _version(events: Mapping[str, Fields]) -> str:
+    return events.get("admitted", {}).get("version", "?")
 
 
-def _last(of: Mapping[str, Fields]) -> str:
-    sent = of.get("routing-decision")
-    if sent is None:
+def _last_attempt(events: Mapping[str, Fields]) -> str:
+    decision = events.get("routing-decision")
+    if decision is None:
         return "sent to no server"
     return (
-        f"sent last to {sent.get('server')} in {sent.get('region')}"
-        f" ({sent.get('reason')}, load {sent.get('load')}"
-        f" told {_before(sent)})"
+        f"sent last to {decision.get('server')} in {decision.get('region')}"
+        f" ({decision.get('reason')}, load {decision.get('load')}"
+        f" told {_load_age(decision)})"
     )
 
 
-def _before(sent: Fields) -> str:
-    age = sent.get("load_age_s", "never")
+def _load_age(decision: Fields) -> str:
+    age = decision.get("load_age_s", "never")
     return age if age == "never" else f"{age} s before"
 
 
-def _detail(of: Mapping[str, Fields]) -> str:
-    attempt = of.get("attempt-ended", {})
+def _failure(events: Mapping[str, Fields]) -> str:
+    attempt = events.get("attempt-ended", {})
     return attempt.get("detail") or attempt.get("result") or "no attempt ended"
--- a/hyssopfold/cmd/status.py
+++ b/hyssopfold/cmd/status.py
@@ -1,4 +1,4 @@
-"""What `hyssopctl status` and `hyssopctl drains` gather and print."""
+"""Collects and formats the output of `hyssopctl status` and `drains`."""
 
 from collections import Counter
 from collections import defaultdict
@@ -19,23 +19,24 @@
 PATH = "/hyssop/v1/status"
 _TIMEOUT_S = 3.0
 _WORKERS = 16
-_SLOW_CLOCK_S = 2.0
+# Largest difference between the entries' clocks that is not reported.
+_MAX_CLOCK_DIFFERENCE_S = 2.0
 
 Body = Mapping[str, Any]
 
 
-class Gathered(NamedTuple):
-    """Answers of the entries, and the names of those that gave none."""
+class EntryStatuses(NamedTuple):
+    """Status of each entry, and the names of those that did not answer."""
 
     entries: list[Body]
-    silent: list[str]
+    unreachable: list[str]
 
 
-class Emptying(NamedTuple):
-    """A server that is to be emptied, as all entries together see it.
+class DrainingServer(NamedTuple):
+    """A server that is being drained, summed over all entries.
 
-    `in_flight` are the requests left; `left_s` the longest estimate of any
-    entry, None when one with requests left cannot tell yet.
+    `in_flight` is the number of requests left; `left_s` is the longest estimate
+    of an entry in seconds, None if an entry with requests left has none yet.
     """
 
     pool: str
@@ -47,28 +48,33 @@
     left_s: float | None
 
 
-def gather(control: control_client.Client) -> Gathered:
-    """Ask every entry that control knows for its status.
+def gather(control: control_client.Client) -> EntryStatuses:
+    """Request the status of every entry that control knows.
+
+    Args:
+        control: Client of the control instances.
 
     Raises:
         PeerUnavailableError: when no control instance answers.
     """
-    known = control.get(instances.PATH).body["instances"]
-    entries = [one for one in known if one["role"] == "entry"]
+    records = control.get(instances.PATH).body["instances"]
+    entries = [record for record in records if record["role"] == "entry"]
     with futures.ThreadPoolExecutor(_WORKERS) as pool:
-        answers = list(pool.map(_ask, (one["address"] for one in entries)))
+        answers = list(
+            pool.map(_request_status, (entry["address"] for entry in entries))
+        )
     pairs = list(zip(entries, answers, strict=True))
-    return Gathered(
+    return EntryStatuses(
         [answer for _, answer in pairs if answer is not None],
-        sorted(one["name"] for one, answer in pairs if answer is None),
+        sorted(entry["name"] for entry, answer in pairs if answer is None),
     )
 
 
-def _ask(address: str) -> Body | None:
-    limits = {"timeout": dict.fromkeys(("connect", "read"), _TIMEOUT_S)}
+def _request_status(address: str) -> Body | None:
+    extensions = {"timeout": dict.fromkeys(("connect", "read"), _TIMEOUT_S)}
     try:
         answer = httpcore.request(
-            "GET", f"http://{address}{PATH}", extensions=limits
+            "GET", f"http://{address}{PATH}", extensions=extensions
         )
         body: Body = msgspec.json.decode(answer.content)
     except (
@@ -81,17 +87,19 @@
     return body if answer.status == 200 else None
 
 
-def status_lines(found: Gathered) -> Iterable[str]:
+def status_lines(statuses: EntryStatuses) -> Iterable[str]:
     """Return what `hyssopctl status` prints."""
-    for entry in sorted(found.entries, key=lambda one: one["instance"]):
+    for entry in sorted(
+        statuses.entries, key=lambda status: status["instance"]
+    ):
         yield (
             f"entry {entry['instance']} region={entry['region']}"
             f" state={entry['state']} revision={entry['revision']}"
         )
-    yield from _clock_lines(found.entries)
-    for name in found.silent:
-        yield f"entry {name} gave no answer: what follows lacks its part"
-    for pool, rows in sorted(_by_pool(found.entries).items()):
+    yield from _clock_lines(statuses.entries)
+    for name in statuses.unreachable:
+        yield f"entry {name} gave no answer: the lines below lack its part"
+    for pool, rows in sorted(_by_pool(statuses.entries).items()):
         yield f"pool {pool}"
         yield from _shift_lines(rows)
         yield from _headroom_lines(rows)
@@ -99,9 +107,9 @@
 
 def _clock_lines(entries: list[Body]) -> Iterable[str]:
     clocks = sorted(entry["utc_s"] for entry in entries)
-    if clocks and clocks[-1] - clocks[0] > _SLOW_CLOCK_S + _TIMEOUT_S:
+    if clocks and clocks[-1] - clocks[0] > _MAX_CLOCK_DIFFERENCE_S + _TIMEOUT_S:
         apart = clocks[-1] - clocks[0]
-        yield f"clocks of the entries are {apart:.0f} s apart: set them"
+        yield f"clocks of the entries are {apart:.0f} s apart: synchronize them"
 
 
 def _by_pool(entries: list[Body]) -> dict[str, list[Body]]:
@@ -124,17 +132,17 @@
     shifts = _reports(rows)
     if not shifts:
         return
-    moving = [one for one in shifts if one.phase != "settled"]
+    moving = [shift for shift in shifts if shift.phase != "settled"]
     target = shifts[0].target
     closed = [*target.closed_regions, *target.closed_domains]
     if moving:
-        to_go = sum(one.to_go for one in shifts) / len(shifts)
-        left_s = max(one.left_s for one in shifts)
+        to_go = sum(shift.to_go for shift in shifts) / len(shifts)
+        left_s = max(shift.left_s for shift in shifts)
         yield (
             f"  shift: {100 * to_go:.1f} % of the traffic at most has yet to"
             f" move, {left_s:.0f} s at the cap"
         )
-        reasons = Counter(f"{one.phase} {one.reason}" for one in moving)
+        reasons = Counter(f"{shift.phase} {shift.reason}" for shift in moving)
         for reason, count in sorted(reasons.items()):
             yield f"  {count} of {len(shifts)} entries: {reason}"
     else:
@@ -143,7 +151,7 @@
         yield f"  planned to be empty: {', '.join(closed)}"
     for layout, share in _mean_parts(shifts):
         yield f"  {100 * share:.1f} % of requests go by: {_layout(layout)}"
-    lost = sorted({region for one in shifts for region in one.lost})
+    lost = sorted({region for shift in shifts for region in shift.lost})
     if lost:
         yield f"  no ready server in: {', '.join(lost)}"
 
@@ -159,16 +167,18 @@
 
 
 def _layout(layout: state.Layout) -> str:
-    words = [
+    parts = [
         f"{row.route}="
-        + "/".join(f"{one.region}:{one.weight:.2f}" for one in row.weights)
+        + "/".join(
+            f"{weight.region}:{weight.weight:.2f}" for weight in row.weights
+        )
         for row in layout.routes
         if row.weights
     ] or ["nearest region first"]
     closed = [*layout.closed_regions, *layout.closed_domains]
     if closed:
-        words.append(f"without {', '.join(closed)}")
-    return ", ".join(words)
+        parts.append(f"without {', '.join(closed)}")
+    return ", ".join(parts)
 
 
 def _headroom_lines(rows: list[Body]) -> Iterable[str]:
@@ -190,22 +200,22 @@
         )
 
 
-def emptying(found: Gathered) -> list[Emptying]:
-    """Return the servers being emptied, summed over the entries."""
-    merged: dict[tuple[str, str], Emptying] = {}
-    for pool, rows in _by_pool(found.entries).items():
+def draining_servers(statuses: EntryStatuses) -> list[DrainingServer]:
+    """Return the servers being drained, summed over the entries."""
+    merged: dict[tuple[str, str], DrainingServer] = {}
+    for pool, rows in _by_pool(statuses.entries).items():
         for row in rows:
             for region, servers in row["regions"].items():
                 for server in servers:
                     if server["emptying"]:
                         key = (pool, server["server"])
-                        one = _emptying(pool, region, server)
-                        merged[key] = _sum(merged.get(key), one)
+                        draining = _draining_server(pool, region, server)
+                        merged[key] = _merge(merged.get(key), draining)
     return [merged[key] for key in sorted(merged)]
 
 
-def _emptying(pool: str, region: str, server: Body) -> Emptying:
-    return Emptying(
+def _draining_server(pool: str, region: str, server: Body) -> DrainingServer:
+    return DrainingServer(
         pool,
         region,
         server["failure_domain"],
@@ -216,34 +226,36 @@
     )
 
 
-def _sum(held: Emptying | None, more: Emptying) -> Emptying:
-    if held is None:
-        return more
+def _merge(
+    merged: DrainingServer | None, row: DrainingServer
+) -> DrainingServer:
+    if merged is None:
+        return row
     left_s = None
-    if held.left_s is not None and more.left_s is not None:
-        left_s = max(held.left_s, more.left_s)
-    in_flight = held.in_flight + more.in_flight
-    return held._replace(in_flight=in_flight, left_s=left_s)
+    if merged.left_s is not None and row.left_s is not None:
+        left_s = max(merged.left_s, row.left_s)
+    in_flight = merged.in_flight + row.in_flight
+    return merged._replace(in_flight=in_flight, left_s=left_s)
 
 
-def drain_lines(found: Gathered) -> Iterable[str]:
+def drain_lines(statuses: EntryStatuses) -> Iterable[str]:
     """Return what `hyssopctl drains` prints."""
-    rows = emptying(found)
+    rows = draining_servers(statuses)
     if not rows:
         yield "nothing is being emptied"
-    pools = _by_pool(found.entries)
+    pools = _by_pool(statuses.entries)
     for row in rows:
         yield (
             f"{row.pool} {row.region} {row.failure_domain} {row.server}:"
-            f" {row.reason}, {row.in_flight} requests left, {_left(row)};"
-            f" {_verdict(row, pools[row.pool], found.silent)}"
+            f" {row.reason}, {row.in_flight} requests left, {_estimate(row)};"
+            f" {_verdict(row, pools[row.pool], statuses.unreachable)}"
         )
     for pool, reports in sorted(pools.items()):
-        for reason in _waiting(reports):
+        for reason in _wait_reasons(reports):
             yield f"{pool}: the shift waits: {reason}"
 
 
-def _left(row: Emptying) -> str:
+def _estimate(row: DrainingServer) -> str:
     if not row.in_flight:
         return "none under way"
     if row.left_s is None:
@@ -251,18 +263,24 @@
     return f"about {row.left_s:.0f} s"
 
 
-def _verdict(row: Emptying, reports: list[Body], silent: list[str]) -> str:
-    if silent:
-        return f"empty: not known, no answer from {', '.join(silent)}"
+def _verdict(
+    row: DrainingServer, reports: list[Body], unreachable: list[str]
+) -> str:
+    if unreachable:
+        return f"empty: not known, no answer from {', '.join(unreachable)}"
     by_shift = row.reason in ("region drained", "failure domain drained")
     shifts = _reports(reports)
-    if by_shift and any(one.phase != "settled" for one in shifts):
-        to_go = max(one.to_go for one in shifts)
+    if by_shift and any(shift.phase != "settled" for shift in shifts):
+        to_go = max(shift.to_go for shift in shifts)
         return f"empty: no, {100 * to_go:.0f} % of the shift to go"
     return "empty: no" if row.in_flight else "empty: yes"
 
 
-def _waiting(rows: list[Body]) -> list[str]:
+def _wait_reasons(rows: list[Body]) -> list[str]:
     return sorted(
-        {one.reason for one in _reports(rows) if one.phase == "waiting"}
+        {
+            report.reason
+            for report in _reports(rows)
+            if report.phase == "waiting"
+        }
     )
--- a/hyssopfold/setting_fields.py
+++ b/hyssopfold/setting_fields.py
@@ -339,8 +339,8 @@
         0.0,
         unit="s",
         help="time after a whole answer for which a connection to a server"
-        " counts as alive and is reused for requests that must not run twice; with 0"
-        " each of these gets a new connection",
+        " counts as alive and is reused for requests that must not run twice;"
+        " with 0 each of these gets a new connection",
     ),
     documents.Field(
         "connect_timeout_s",
