--- a/hyssopfold/cmd/standin.py
+++ b/hyssopfold/cmd/standin.py
@@ -113,7 +113,7 @@
 async def _wait_for_stop(
     standin: standin_server.Server, stop: trio.Event
 ) -> None:
-    """On a signal, announce `leaving` and stop once entries have received it."""
+    """On a signal, announce `leaving`; stop once entries have received it."""
     with trio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for _ in signals:
             standin.leave()
--- a/tests/steps/control/round_trip_steps.py
+++ b/tests/steps/control/round_trip_steps.py
@@ -42,7 +42,7 @@
     body = {"revision": 7, **tables.to_plain(held.tables)}
     body["evacuated"] = held.evacuated
     answer = msgspec.json.decode(msgspec.json.encode(body))
-    context.round_printed = ctl._shown(answer)
+    context.round_printed = ctl._format_tables(answer)
     context.round_read = tables.parse(context.round_printed)
 
 
