--- a/examples/embedding/register.py
+++ b/examples/embedding/register.py
@@ -1,9 +1,9 @@
-"""Three members of the replicated register in a program of your own.
+"""Embeds three members of the replicated register in a program.
 
-Run it: `python examples/embedding/register.py`. Everything here is virtual:
-the clock is a number, the network a list, the disk a dictionary. In a real
-program a `Save...` effect is written and synced before the effects after it
-are carried out, and a `Send` goes over a wire that may lose it.
+Run it with `python examples/embedding/register.py`. Everything is simulated:
+the clock is a number, the network a list, the disk a dictionary. A real program
+writes and syncs a `Save...` effect before it executes the effects after it, and
+sends a `Send` over a network that may lose it.
 """
 
 import random
@@ -18,72 +18,72 @@
 
 
 def member(name: str) -> messages.Member:
-    """Return a member; its incarnation is the id of its (virtual) disk."""
+    """Return a member; its incarnation is the ID of its simulated disk."""
     return messages.Member(
         name, f"127.0.0.1:{9000 + ord(name)}", f"disk-{name}"
     )
 
 
 class Program:
-    """Carry the effects of three members.
+    """Executes the effects of three members.
 
     Args:
-        seed: Decides jitter and the order in which messages arrive.
+        seed: Determines jitter and the order in which messages arrive.
     """
 
     def __init__(self, seed: int) -> None:
         self._rng = random.Random(seed)
         self._now = 0.0
-        self._wire: list[tuple[str, str, messages.Message]] = []
+        self._network: list[tuple[str, str, messages.Message]] = []
         self.results: dict[int, messages.Result] = {}
-        self.cut_off: set[str] = set()
-        listed = [member(name).endpoint for name in NAMES]
+        self.disconnected: set[str] = set()
+        endpoints = [member(name).endpoint for name in NAMES]
         self._nodes = {
             name: node.Node(
                 messages.Identity(member(name), starts=1, nonce=name),
-                listed,
+                endpoints,
                 node.BLANK,
                 random.Random(self._rng.random()),
             )
             for name in NAMES
         }
 
-    def hand(self, name: str, event: messages.Event) -> None:
-        """Hand an event to a member and carry what comes of it."""
+    def handle(self, name: str, event: messages.Event) -> None:
+        """Pass an event to a member and execute the resulting effects."""
         for effect in self._nodes[name].handle(event, self._now):
             match effect:
                 case messages.Send():
-                    self._wire.append((name, effect.to.name, effect.message))
+                    self._network.append((name, effect.to.name, effect.message))
                 case messages.Reply():
                     self.results[effect.request] = effect.result
 
     def run(self, seconds: float) -> None:
-        """Let time pass; messages arrive in any order."""
+        """Advance the clock; messages arrive in random order."""
         until = self._now + seconds
         while self._now < until:
             self._now += STEP_S
             for name in NAMES:
-                self.hand(name, messages.Tick())
+                self.handle(name, messages.Tick())
             self._deliver()
 
     def _deliver(self) -> None:
-        self._rng.shuffle(self._wire)
-        sent, self._wire = self._wire, []
-        for sender, to, message in sent:
-            if not self.cut_off.intersection((sender, to)):
+        self._rng.shuffle(self._network)
+        messages_sent, self._network = self._network, []
+        for sender, to, message in messages_sent:
+            if not self.disconnected.intersection((sender, to)):
                 received = messages.Received(member(sender).id, message)
-                self.hand(to, received)
+                self.handle(to, received)
 
 
 def main() -> None:
     """Form a cluster, lose a member, edit, and read the edit elsewhere."""
     program = Program(seed=1)
     program.run(5.0)
-    program.cut_off.add("c")
-    program.hand("a", messages.Edit(_EDIT, "first-change", 0, b"hello"))
+    program.disconnected.add("c")
+    program.handle("a", messages.Edit(_EDIT, "first-change", 0, b"hello"))
     program.run(3.0)
     print("edit:", program.results[_EDIT])
-    program.hand("b", messages.Read(_READ))
+    program.handle("b", messages.Read(_READ))
     program.run(3.0)
     result = program.results[_READ]
     assert isinstance(result, messages.ReadDone), result
--- a/hyssopfold/standin/server.py
+++ b/hyssopfold/standin/server.py
@@ -1,4 +1,7 @@
-"""Stand-in backend server: slots, service times, faults, a ledger of runs."""
+"""Stand-in backend server with slots, service times, faults and a ledger.
+
+The ledger records each run of a request.
+"""
 
 from collections import Counter
 from collections.abc import Callable
@@ -28,15 +31,15 @@
 
 
 class Options(NamedTuple):
-    """How a stand-in behaves; times are in seconds.
+    """Behaviour of a stand-in server; times are in seconds.
 
-    Service times are exponential around `service_s` if `exponential`, and
-    `cold_factor` times as long at first, falling to their own length over
-    `warm_requests` requests. `faults` gives the share of requests that meet
-    each fault of `wire.FAULTS`; a request can ask for one by the header
-    `standin-fault`. `idle_s` is when it closes an unused connection. `ledger`
-    names a file that gets a line of JSON for each run as it begins, so that a
-    server that is killed leaves its books behind.
+    Service times are exponentially distributed with mean `service_s` if
+    `exponential`. They are `cold_factor` times as long at first and decrease to
+    their normal length over `warm_requests` requests. `faults` gives the share
+    of requests that get each fault of `wire.FAULTS`; a request can choose a
+    fault by the header `standin-fault`. An unused connection is closed after
+    `idle_s`. `ledger` names a file to which a line of JSON is appended for each
+    run as it begins, so that the ledger of a killed server is complete.
     """
 
     server_id: str
@@ -57,20 +60,20 @@
     ledger: str = ""
 
 
-def _not_serving() -> None:
-    """Do nothing: there is nothing to end."""
+def _no_crash() -> None:
+    """Do nothing: the server is not serving yet."""
 
 
 class Server:
-    """Answer requests as a backend server would, and as a bad one.
+    """Answers requests as a backend server does, with the configured faults.
 
-    `ledger` counts by request id what ran, `keys` by idempotency key, of which
-    `posted` came with what may run only once,
-    `refused` what it said not to have run, `cancelled` what ran while its
-    caller went away.
+    `ledger` counts runs by request ID, `keys` by idempotency key; `post_keys`
+    are the keys of requests that may run only once. `refused` counts requests
+    that were answered as not run, `cancelled` those whose caller disconnected
+    during the run, both by request ID.
 
     Args:
-        options: Its place and behaviour.
+        options: Address, pool, location and behaviour.
     """
 
     def __init__(self, options: Options) -> None:
@@ -89,12 +92,17 @@
         self.max_running = 0
         self.open_connections: set[wire.Connection] = set()
         self.has_crashed = False
-        # Ends serving at once; set while it serves.
-        self._crash: Callable[[], None] = _not_serving
+        # Ends `serve` at once; set while it runs.
+        self._crash: Callable[[], None] = _no_crash
         self.last_headers: dict[bytes, bytes] = {}
 
     async def serve(self, stop: trio.Event, grace_s: float = 0.0) -> None:
-        """Serve until `stop` is set and, for `grace_s`, what is in flight."""
+        """Serve until `stop` is set, then finish requests in flight.
+
+        Args:
+            stop: Ends the accepting of connections.
+            grace_s: Longest time in seconds to wait for requests in flight.
+        """
         listeners = await http.listen(self._options.address)
         async with trio.open_nursery() as nursery:
             self._crash = nursery.cancel_scope.cancel
@@ -117,7 +125,7 @@
         conn = wire.Connection(stream, self._options.idle_s)
         self.open_connections.add(conn)
         try:
-            while await self._serve_one(conn):
+            while await self._serve_request(conn):
                 pass
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
@@ -127,26 +135,26 @@
             self.open_connections.discard(conn)
             await conn.aclose()
 
-    async def _serve_one(self, conn: wire.Connection) -> bool:
+    async def _serve_request(self, conn: wire.Connection) -> bool:
         """Serve a request; return whether another may follow."""
         req = await conn.next_request()
         if req is None:
             return False
         if req.path == "/standin/ledger":
             await conn.read_body()
-            books = {
+            ledger = {
                 "ran": dict(self.ledger),
                 "keys": dict(self.keys),
                 "refused": dict(self.refused),
                 "cancelled": dict(self.cancelled),
             }
-            return await conn.answer(200, msgspec.json.encode(books), ())
+            return await conn.answer(200, msgspec.json.encode(ledger), ())
         fault = self._fault(req)
         echo = (b"hyssop-request-id", req.request_id.encode())
         if self._running >= self._options.slots and not fault:
             fault = "shed"
         if fault in wire.BEFORE_RUN:
-            return await self._without_running(conn, req, fault, echo)
+            return await self._answer_without_run(conn, req, fault, echo)
         self.last_headers = req.headers
         if fault == "hold":
             await trio.sleep_forever()
@@ -163,17 +171,17 @@
             "received_bytes": size,
         }
         encoded = msgspec.json.encode(body)
-        wanted = int(req.headers.get(ANSWER_BYTES_HEADER, b"0"))
-        if wanted:
-            return await conn.answer_chunked(wanted, echo)
+        answer_bytes = int(req.headers.get(ANSWER_BYTES_HEADER, b"0"))
+        if answer_bytes:
+            return await conn.answer_chunked(answer_bytes, echo)
         if fault:
             return await wire.send_faulty_answer(conn, fault, encoded, echo)
         return await conn.answer(200, encoded, (echo,))
 
     def _fault(self, req: wire.Request) -> str:
-        asked = req.headers.get(FAULT_HEADER, b"").decode("latin-1")
-        name, _, where = asked.partition("@")
-        if name and where in ("", self._options.server_id):
+        value = req.headers.get(FAULT_HEADER, b"").decode("latin-1")
+        name, _, server_id = value.partition("@")
+        if name and server_id in ("", self._options.server_id):
             return name
         draw = self._rng.random()
         for name, share in self._options.faults:
@@ -182,7 +190,7 @@
             draw -= share
         return ""
 
-    async def _without_running(
+    async def _answer_without_run(
         self,
         conn: wire.Connection,
         req: wire.Request,
@@ -198,7 +206,7 @@
     async def _run(
         self, conn: wire.Connection, req: wire.Request, fault: str
     ) -> None:
-        self._write_down(req)
+        self._write_to_ledger(req)
         self.ledger[req.request_id] += 1
         if req.key:
             self.keys[req.key] += 1
@@ -215,7 +223,7 @@
             self._running -= 1
             self._served += 1
 
-    def _write_down(self, req: wire.Request) -> None:
+    def _write_to_ledger(self, req: wire.Request) -> None:
         if not self._options.ledger:
             return
         line = {"id": req.request_id, "key": req.key, "path": req.path}
@@ -228,8 +236,8 @@
         if options.exponential and mean:
             mean = self._rng.expovariate(1 / mean)
         if self._served < options.warm_requests:
-            left = 1 - self._served / options.warm_requests
-            mean *= 1 + (options.cold_factor - 1) * left
+            cold_share = 1 - self._served / options.warm_requests
+            mean *= 1 + (options.cold_factor - 1) * cold_share
         if fault == "silent":
             return float("inf")
         return mean * LATE_FACTOR if fault == "late" else mean
@@ -239,7 +247,7 @@
         self._state = "leaving"
 
     async def announce(self) -> None:
-        """Tell the system each second that this server is there."""
+        """Announce this server to the system once a second."""
         async with httpcore.AsyncConnectionPool() as pool:
             while True:
                 self._sequence += 1
--- a/hyssopfold/standin/wire.py
+++ b/hyssopfold/standin/wire.py
@@ -1,4 +1,4 @@
-"""A stand-in's side of a connection, down to the bytes that go wrong."""
+"""Server side of a stand-in's HTTP/1.1 connection, with faulty answers."""
 
 from collections.abc import Callable
 import socket
@@ -18,7 +18,7 @@
 BEFORE_RUN = frozenset(
     ("shed", "shed-bare", "shed-other", "die-at-head", "reset-at-head", "early")
 )
-# Faults of a server that runs it and then answers badly or not at all.
+# Faults of a server that runs the request, then sends a faulty answer or none.
 AFTER_RUN = frozenset(
     (
         "die",
@@ -57,7 +57,7 @@
 
     @property
     def request_id(self) -> str:
-        """Return the id that the entry gave it."""
+        """Return the ID that the entry assigned to the request."""
         return self.headers.get(b"hyssop-request-id", b"").decode("latin-1")
 
     @property
@@ -67,11 +67,13 @@
 
 
 class Connection:
-    """One connection, served one request after the other.
+    """A connection whose requests are served one after the other.
+
+    `sent` counts the body bytes of chunked answers.
 
     Args:
-        stream: The connection, owned from now on.
-        idle_s: Seconds without a request after which it is closed.
+        stream: The TCP connection; closed by `aclose`.
+        idle_s: Time without a request after which the connection ends.
     """
 
     def __init__(self, stream: trio.SocketStream, idle_s: float) -> None:
@@ -82,7 +84,7 @@
         self.sent = 0
 
     async def next_request(self) -> Request | None:
-        """Return the next request's head; None at the connection's end."""
+        """Return the next request's head, or None at the connection's end."""
         if self._http.our_state is h11.DONE:
             if self._http.their_state is not h11.DONE:
                 return None
@@ -98,10 +100,10 @@
         return None
 
     async def read_body(self) -> int:
-        """Read the request's body away; return its size in bytes.
+        """Read and discard the request's body; return its size in bytes.
 
         Raises:
-            PeerGoneError: when it is cut.
+            PeerGoneError: when the body is cut.
         """
         if self._http.they_are_waiting_for_100_continue:
             head = h11.InformationalResponse(status_code=100, headers=[])
@@ -134,10 +136,10 @@
             await self.stream.send_all(data)
 
     async def sleep_while_connected(self, seconds: float) -> None:
-        """Pass time as work does, but stop when the other end closes.
+        """Sleep for the time of a run, unless the other end disconnects.
 
         Raises:
-            PeerGoneError: when it does.
+            PeerGoneError: when the other end disconnects.
         """
         if not seconds:
             await trio.lowlevel.checkpoint()
@@ -163,7 +165,7 @@
         return self._http.our_state is h11.DONE
 
     async def answer_chunked(self, size: int, echo: Header) -> bool:
-        """Answer with `size` bytes in chunks; count them in `sent`."""
+        """Send an answer with a chunked body of `size` bytes."""
         coding = (b"transfer-encoding", b"chunked")
         await self.send(h11.Response(status_code=200, headers=[echo, coding]))
         while self.sent < size:
@@ -174,7 +176,7 @@
         return False
 
     def reset_on_close(self) -> None:
-        """Make the close a reset."""
+        """Let the close reset the TCP connection."""
         self.stream.socket.setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE
         )
@@ -187,7 +189,11 @@
 async def send_faulty_refusal(
     conn: Connection, fault: str, echo: Header
 ) -> bool:
-    """Fail a request that is not run; return whether another may follow."""
+    """Send the faulty answer to a request that is not run, if any.
+
+    Returns:
+        Whether another request may follow on the connection.
+    """
     not_run = (b"hyssop-outcome", b"not-run")
     match fault:
         case "shed-bare":
@@ -199,7 +205,7 @@
             return await conn.answer(503, b"", (other, not_run))
         case "early":
             await conn.answer(413, b"too large", (echo,))
-            # Reads no more, as a server does that is done with an upload.
+            # Stops reading, like a server that rejects an upload.
             await trio.sleep(2)
         case "reset-at-head":
             conn.reset_on_close()
@@ -209,11 +215,15 @@
 async def send_faulty_answer(
     conn: Connection, fault: str, body: bytes, echo: Header
 ) -> bool:
-    """Answer a request that ran; return whether another may follow."""
-    if fault in _RAW:
-        await conn.stream.send_all(_RAW[fault](body, echo[1]))
+    """Send the faulty answer to a request that ran.
+
+    Returns:
+        Whether another request may follow on the connection.
+    """
+    if fault in _RAW_ANSWERS:
+        await conn.stream.send_all(_RAW_ANSWERS[fault](body, echo[1]))
         if fault == "stray":
-            # Open, as if it could be used again.
+            # Stays open, as if it could be reused.
             await trio.sleep(STRAY_OPEN_S)
         return False
     other = (b"hyssop-request-id", b"0" * 32)
@@ -239,8 +249,8 @@
     return b"\r\n".join((b"HTTP/1.1 " + status, echo, *lines, b"", b""))
 
 
-def _with_length(body: bytes, request_id: bytes, more: int = 0) -> bytes:
-    length = b"content-length: %d" % (len(body) + more)
+def _with_length(body: bytes, request_id: bytes, extra: int = 0) -> bytes:
+    length = b"content-length: %d" % (len(body) + extra)
     return _head(b"200 OK", request_id, length) + body
 
 
@@ -250,11 +260,11 @@
     return head + b"%x\r\n" % len(body) + body + b"\r\n"
 
 
-_RAW: dict[str, Callable[[bytes, bytes], bytes]] = {
+_RAW_ANSWERS: dict[str, Callable[[bytes, bytes], bytes]] = {
     "cut-head": lambda body, rid: _with_length(body, rid)[:25],
-    "cut-length": lambda body, rid: _with_length(body, rid, more=10),
+    "cut-length": lambda body, rid: _with_length(body, rid, extra=10),
     "cut-long": lambda body, rid: _with_length(
-        b"a" * 100_000, rid, more=100_000
+        b"a" * 100_000, rid, extra=100_000
     ),
     "cut-chunked": _cut_chunked,
     "cut-unframed": lambda body, rid: _head(b"200 OK", rid) + body[:5],
