--- a/tests/application.feature
+++ b/tests/application.feature
@@ -1,7 +1,7 @@
-Feature: the whole path
-  An operator applies tables and a caller's request is served: settings,
-  register, distribution, announcements, routing and streaming must fit
-  together, or nothing reaches a backend server.
+Feature: the whole path of a request
+  Settings, register, distribution, announcements, routing and streaming must
+  work together; otherwise no request reaches a backend server after an
+  operator has applied tables.
 
   Scenario: tables applied, then a look-up, a read, a payment and an upload
     Given a system with a server for each of "catalogue" and "ledger"
--- a/tests/cmd/losses.feature
+++ b/tests/cmd/losses.feature
@@ -1,8 +1,8 @@
 Feature: why requests missed their goal, from the logs
-  After a bad evening the team has gigabytes of logs and one question: what
-  went wrong for most of the callers, and when.
+  After an incident, operators find from gigabytes of logs why most requests
+  missed their goal, and when.
 
-  Scenario Outline: <what> is told as its cause
+  Scenario Outline: the cause of a request that <what>
     Given the log lines of a request that <what>
     When the losses are gathered
     Then the only cause is "<cause>"
@@ -20,23 +20,23 @@
       | was sent twice               | late: sent twice                            |
       | waited at the entry          | late: waited at the entry                   |
 
-  Scenario: what came in time and what has no route is no loss
+  Scenario: requests answered in time and requests without a route are no loss
     Given the log lines of a request that came in time
     And the log lines of a request that has no route
     When the losses are gathered
     Then there is no loss among 2 requests
 
-  Scenario: torn and foreign lines are passed over
+  Scenario: truncated and foreign lines are ignored
     Given the log lines of a request that found no slot
-    And torn and foreign lines around them
+    And truncated and foreign lines around them
     When the losses are gathered
     Then the only cause is "refused: no-slot"
 
-  Scenario: memory does not grow with the logs
+  Scenario: memory is bounded when requests have no end
     When the losses of 60000 requests without an end are gathered
-    Then at most 10000 requests were held at once
+    Then at most 10000 requests were open at once
 
-  Scenario: programs get a row for each second, instance, route and cause
+  Scenario: the JSON output has a row for each second, instance, route and cause
     Given the log lines of a request that found no slot
     When the losses are gathered
     Then the JSON rows name second, instance, route, cause and count
--- a/tests/examples/embedding.feature
+++ b/tests/examples/embedding.feature
@@ -1,8 +1,8 @@
-Feature: parts embedded in a program of one's own
-  Someone takes the register into another program, by the example alone. If the
-  example no longer ran, the first hour with the library would be lost.
+Feature: modules embedded in another program
+  The example is the guide for embedding the register in another program, so it
+  must run and print what its documentation says.
 
-  Scenario: the example of the register runs as it says
+  Scenario: the example of the register prints the documented output
     When the example "examples/embedding/register.py" is run
     Then the example prints
       """
--- a/tests/fuzz/inputs.feature
+++ b/tests/fuzz/inputs.feature
@@ -1,12 +1,12 @@
 Feature: bad inputs
-  A broken file, a program of another version or somebody hostile sends what no
-  one expects. If it raised anything but a typed refusal, a daemon's task would
-  fail over and over and take the process with it. Each input is refused with a
-  clear error or means what it says; nothing else.
+  Damaged files, other versions of the program and attackers produce unexpected
+  input. If it raised anything but a typed error, a task of the daemon would
+  keep failing and end the process. Each input is either refused with a typed
+  error or accepted.
 
-  Scenario Outline: <kind> from whatever bytes
+  Scenario Outline: <kind> from random bytes
     When <count> bad inputs are read as <kind>
-    Then each fuzzed input was refused by a typed error or taken whole
+    Then each fuzzed input was refused by a typed error or accepted
 
     Examples:
       | kind            | count |
--- a/tests/imports.feature
+++ b/tests/imports.feature
@@ -1,10 +1,10 @@
-Feature: each daemon loads its own parts only
-  Loading modules is most of a start; hundreds of processes start at once after
-  a loss of power, on a fraction of a core each.
+Feature: each daemon imports its own modules only
+  Importing modules takes most of the time of a start. After a power loss
+  hundreds of processes start at once, each on a fraction of a core.
 
-  Scenario Outline: an <daemon> loads nothing of <foreign>
-    When the modules of an <daemon> are loaded in a fresh process
-    Then none of them begins with "<foreign>"
+  Scenario Outline: an <daemon> imports nothing of <foreign>
+    When the modules of an <daemon> are imported in a new process
+    Then no imported module begins with "<foreign>"
 
     Examples:
       | daemon           | foreign                           |
--- a/tests/request_log.feature
+++ b/tests/request_log.feature
@@ -1,33 +1,32 @@
-Feature: lines of a request that explain its end, within bounds
-  A franchisee's order failed at ten past nine. The engineer on call has its id
-  and the logs. The order's lines must all be there, though thousands of good
-  requests were logged in the same second; and writing them must not have been
-  what made other orders late.
+Feature: log lines that explain the end of a request, within a budget
+  An operator explains a failed request from its log lines. They must all be
+  written, even if thousands of successful requests are logged in the same
+  second, and writing log lines must not delay other requests.
 
-  Scenario: a failed request is kept whole when good ones are left out
+  Scenario: failed requests are written whole, successful ones are sampled
     Given a sampler of 20 lines a second
-    When 100 good requests and 5 failed ones of 4 lines each end in a second
-    And another 100 good requests and 5 failed ones end a second later
-    Then all lines of the failed ones were written
-    And fewer than 50 lines of the good ones were written, and the rest counted
+    When 100 successful and 5 failed requests of 4 lines each end in a second
+    And another 100 successful and 5 failed requests end a second later
+    Then all lines of the failed requests were written
+    And fewer than 50 lines of the others were written and the rest counted
 
-  Scenario: two processes keep the same requests
-    Given two samplers of 400 lines a second with unlike load
-    Then what the busier one keeps the other one keeps too
+  Scenario: two processes sample the same requests
+    Given two samplers of 400 lines a second with different load
+    Then the requests that the busier one writes are also written by the other
 
-  Scenario: a stalled reader of standard output costs lines and no time
-    Given a handler whose reader does not read
+  Scenario: a stalled reader of standard output causes dropped lines, no delay
+    Given a log handler whose reader is stalled
     When 20000 lines are logged
-    Then it took less than 4 s and the lines left out are counted
-    When the reader reads again
-    Then the lines that it gets are whole
+    Then it took less than 4 s and the dropped lines are counted
+    When the reader of the log resumes
+    Then the lines that the reader receives are whole
 
-  Scenario Outline: a request's cause from its lines
+  Scenario Outline: the explanation of a request from its log lines
     Given log lines of a request that was <how>
-    Then its explanation holds "<words>"
+    Then its explanation contains "<text>"
 
     Examples:
-      | how       | words                      |
+      | how       | text                       |
       | overfull  | were full                  |
       | lost      | may have run               |
       | late      | may have run               |
--- a/tests/security.feature
+++ b/tests/security.feature
@@ -1,29 +1,29 @@
-Feature: who may talk to the system
-  Someone on the network sends an edit, a false announcement or a datagram
-  recorded yesterday. Keys, tokens and certificates are replaced while the
-  processes run, and a half-written file must lock no one out.
+Feature: authentication of peers, operators and backend servers
+  An attacker on the network may send an edit, a forged announcement or a
+  datagram recorded the day before. Keys, tokens and certificates are replaced
+  while the processes run, and a half-written file must not disable access.
 
   Scenario: sealed messages
     Given a keyring and messages sealed by a peer with the same key
     Then the keyring opens each sealed message once
-    And the keyring refuses one changed, cut, of another kind, old or early
+    And the keyring refuses changed, cut, old and early messages and other types
     And the keyring without keys opens sealed and plain messages
 
-  Scenario: a flood of sealed messages
+  Scenario: the memory of a keyring is bounded under many messages
     Given a keyring and messages sealed by a peer with the same key
-    Then the keyring remembers no more proofs than its bound
+    Then the keyring stores no more proofs than its limit
 
-  Scenario: random bytes as sealed messages
+  Scenario: random bytes instead of sealed messages
     Given a keyring and messages sealed by a peer with the same key
     Then the keyring refuses random bytes with its own error
 
-  Scenario Outline: a token is asked for
+  Scenario Outline: requests need a valid token
     Given a token guard with tokens "operator-token-one" and "operator-token-two"
-    When a request shows the token header "<header>"
-    Then the token guard's verdict is "<verdict>"
+    When a request has the authorization header "<header>"
+    Then the result of the token guard is "<result>"
 
     Examples:
-      | header                    | verdict |
+      | header                    | result  |
       | Bearer operator-token-one | passes  |
       | bearer operator-token-two | passes  |
       | Bearer operator-token-on  | 401     |
@@ -31,27 +31,27 @@
       | Basic operator-token-one  | 401     |
       | none                      | 401     |
 
-  Scenario: files are replaced, spoilt and mended
-    Given a token file that a guard was loaded from
-    When the token file is replaced, then spoilt, then removed, then mended
-    Then the token guard followed the good files and kept the last good one
+  Scenario: a token file is replaced, damaged, removed and restored
+    Given a token guard loaded from a token file
+    When the token file is replaced, then damaged, then removed, then restored
+    Then the token guard used each valid file and kept the last valid tokens
 
   Scenario: an operators' API with tokens and TLS
     Given a system whose control instance has tokens and a certificate
     When operators with and without the token connect over TLS
-    Then only the operator with the token was let through
-    And after the certificate was replaced new connections see the new one
+    Then only the operator with the token was accepted
+    And new connections get the new certificate after it was replaced
 
   Scenario: mutual TLS between processes
-    Given a link server with a certificate that asks for one
-    When peers with a certificate of ours, a stranger's and none call it
-    Then only the peer with a certificate of ours was answered
+    Given an rpc server with a certificate that requires client certificates
+    When peers with a valid, a foreign and no certificate call the rpc server
+    Then only the peer with the valid certificate was answered
 
-  Scenario: settings that name unusable files
+  Scenario: settings that name files which cannot be used
     When settings name a short key, a missing token file and a certificate
-    Then each unusable file is told with its remedy and no key is shown
+    Then each unusable file is reported with a remedy and no key is shown
 
   Scenario: the whole path with sealed messages and mutual TLS
-    Given a system whose processes share keys and show certificates
+    Given a system whose processes share keys and use certificates
     When the tables of "examples/mrema.yaml" are applied and requests sent
     Then every request was served with its own whole answer
--- a/tests/settings.feature
+++ b/tests/settings.feature
@@ -1,11 +1,12 @@
 Feature: settings are checked as a whole before anything starts
-  An operator mistypes three things in a settings file. Told one at a time,
-  he restarts three times; told none, the process runs on a default.
+  A settings file may have several faults. If they were reported one at a time,
+  the operator would restart once for each; if they were not reported, the
+  process would run with defaults.
 
   Scenario: every fault at once, with its line
     Given control settings with faults of many kinds
     When the faulty settings are checked
-    Then every settings fault is told once with its line and what is allowed
+    Then every settings fault is reported once with its line and what is allowed
 
   Scenario Outline: dangerous values
     Given entry settings in which "<key>" is "<value>"
@@ -23,6 +24,6 @@
       | rpc_address          | 127.0.0.1:7000         | other than http_address   |
       | unheard_of           | 1                      | one of                    |
 
-  Scenario: what is open to anyone is said at the start
+  Scenario: a start warns of actions that need no authentication
     Given entry settings in which "http_address" is "192.0.2.1:80"
-    Then the settings are said to let anyone announce
+    Then the settings have the warning that anyone may announce
--- a/tests/steps/application_steps.py
+++ b/tests/steps/application_steps.py
@@ -23,12 +23,12 @@
 )
 
 
-@given('a system with a server for each of "{one}" and "{two}"')
-def _(context, one, two):
+@given('a system with a server for each of "{first}" and "{second}"')
+def _(context, first, second):
     folder = tempfile.mkdtemp()
     context.add_cleanup(shutil.rmtree, folder)
     context.system = loopback.System(folder)
-    context.pools = (one, two)
+    context.pools = (first, second)
 
 
 async def _apply(system, path):
@@ -52,57 +52,57 @@
             return
 
 
-async def _until_served(person, system, path):
+async def _until_served(caller, system, path):
     while True:
         try:
-            found = await person.look_up(system.entry, path)
-            outcome = await person.send(found.address, "GET", path)
+            lookup = await caller.look_up(system.entry, path)
+            answer = await caller.send(lookup.address, "GET", path)
         except errors.HyssopError:
             await trio.sleep(0.05)
             continue
-        if outcome.status == 200:
+        if answer.status == 200:
             return
         await trio.sleep(0.05)
 
 
-async def _drive(context, path):
+async def _run_requests(context, path):
     system = context.system
     async with system.running(context.pools):
         await _apply(system, path)
-        person = standin_caller.Caller("mrema.example")
-        for ready in ("/catalogue/", "/payments/0"):
-            await _until_served(person, system, ready)
+        caller = standin_caller.Caller("mrema.example")
+        for path_to_try in ("/catalogue/", "/payments/0"):
+            await _until_served(caller, system, path_to_try)
         for standin in system.standins:
             standin.ledger.clear()
-        context.outcomes = [
-            await person.send(system.entry, *req) for req in _REQUESTS
+        context.answers = [
+            await caller.send(system.entry, *req) for req in _REQUESTS
         ]
-        await person.aclose()
+        await caller.aclose()
 
 
 @when('the tables of "{path}" are applied and requests sent')
 def _(context, path):
-    trio.run(_drive, context, path)
+    trio.run(_run_requests, context, path)
 
 
 @then("every request was served with its own whole answer")
 def _(context):
-    for (method, path, size), outcome in zip(
-        _REQUESTS, context.outcomes, strict=True
+    for (method, path, size), answer in zip(
+        _REQUESTS, context.answers, strict=True
     ):
-        assert outcome.status == 200, outcome
-        body = msgspec.json.decode(outcome.body)
+        assert answer.status == 200, answer
+        body = msgspec.json.decode(answer.body)
         assert body["method"] == method, body
         assert body["path"] == path, body
         assert body["received_bytes"] == size, body
-        assert outcome.headers["hyssop-revision"] == "1", outcome
+        assert answer.headers["hyssop-revision"] == "1", answer
 
 
 @then("each request ran once")
 def _(context):
-    ran = [
+    run_counts = [
         count
         for standin in context.system.standins
         for count in standin.ledger.values()
     ]
-    assert ran == [1] * len(_REQUESTS), ran
+    assert run_counts == [1] * len(_REQUESTS), run_counts
--- a/tests/steps/cmd/losses_steps.py
+++ b/tests/steps/cmd/losses_steps.py
@@ -63,10 +63,16 @@
     ]
 
 
-@given("torn and foreign lines around them")
+@given("truncated and foreign lines around them")
 def _(context):
-    torn = 'request=r9 event=refused detail="half'
-    foreign = ["", "hello\n", "request=\n", "\x00\xff request=a event=\n", torn]
+    truncated = 'request=r9 event=refused detail="half'
+    foreign = [
+        "",
+        "hello\n",
+        "request=\n",
+        "\x00\xff request=a event=\n",
+        truncated,
+    ]
     context.loss_lines = [*foreign, *context.loss_lines, *foreign]
 
 
@@ -97,9 +103,9 @@
         context.loss_open = max(context.loss_open, counter.open_count)
 
 
-@then("at most {most:d} requests were held at once")
-def _(context, most):
-    assert context.loss_open <= most, context.loss_open
+@then("at most {max_open:d} requests were open at once")
+def _(context, max_open):
+    assert context.loss_open <= max_open, context.loss_open
 
 
 @then("the JSON rows name second, instance, route, cause and count")
--- a/tests/steps/fuzz/inputs_steps.py
+++ b/tests/steps/fuzz/inputs_steps.py
@@ -21,7 +21,7 @@
 from hyssopfold.transport import consensus_wire
 from hyssopfold.transport import datagram_wire
 
-# What a stranger may send is refused by one of these and nothing else.
+# Input from the network or from files is refused by one of these only.
 REFUSALS = (errors.HyssopError, msgspec.DecodeError)
 
 _SCALARS = strategies.one_of(
@@ -43,7 +43,7 @@
 
 
 def _yaml_like(keys):
-    """Return texts that look enough like a document to get far into it."""
+    """Return texts similar enough to a document to pass the first checks."""
     words = strategies.sampled_from(
         [*keys, ":", ": ", "\n", "\n  ", "- ", "[", "]", "{", "}", "&a ",
          "*a", "!!python/object:os.system ", "1", "-1", "1e999", ".nan",
@@ -55,17 +55,17 @@
     )
 
 
-def _spoiled(good):
-    """Return `good` bytes with some bytes changed, cut or doubled."""
+def _damaged(valid):
+    """Return `valid` with some bytes changed or its end cut, or other bytes."""
 
-    def spoil(edits):
-        data = bytearray(good)
-        for place, byte, cut in edits:
+    def damage(edits):
+        data = bytearray(valid)
+        for position, byte, cut in edits:
             if not data:
                 break
-            data[place % len(data)] = byte
+            data[position % len(data)] = byte
             if cut:
-                del data[place % len(data) :]
+                del data[position % len(data) :]
         return bytes(data)
 
     edit = strategies.tuples(
@@ -74,7 +74,7 @@
         strategies.booleans(),
     )
     return strategies.one_of(
-        strategies.lists(edit, max_size=4).map(spoil),
+        strategies.lists(edit, max_size=4).map(damage),
         strategies.binary(max_size=200),
         _TREES.map(_packed),
     )
@@ -106,16 +106,16 @@
         _expect_refusal(consensus_wire.unseal, envelope)
 
 
-def _read_settings(text, place):
-    path = pathlib.Path(place) / "settings.yaml"
+def _read_settings(text, directory):
+    path = pathlib.Path(directory) / "settings.yaml"
     path.write_text(text, encoding="utf-8", errors="surrogatepass")
     _expect_refusal(settings.load_entry, str(path))
     _expect_refusal(settings.load_control, str(path))
 
 
-def _read_record(data, held):
-    (held.path / "vote").write_bytes(data)
-    held.read("vote")
+def _read_record(data, data_folder):
+    (data_folder.path / "vote").write_bytes(data)
+    data_folder.read("vote")
 
 
 def _expect_refusal(read, data):
@@ -143,34 +143,36 @@
 
 @when("{count:d} bad inputs are read as {kind}")
 def _(context, count, kind):
-    with tempfile.TemporaryDirectory() as place:
-        held = folder.DataFolder(place)
-        held.write("vote", b"one")
-        vote = (held.path / "vote").read_bytes()
+    with tempfile.TemporaryDirectory() as directory:
+        data_folder = folder.DataFolder(directory)
+        data_folder.write("vote", b"one")
+        vote = (data_folder.path / "vote").read_bytes()
         announce = functools.partial(announcements.parse, "a-1")
-        good = b'{"pool":"a","address":"127.0.0.1:1","region":"r","slots":1}'
+        announcement = (
+            b'{"pool":"a","address":"127.0.0.1:1","region":"r","slots":1}'
+        )
         kinds = {
             "tables": (tables.parse, _yaml_like(_KEYS)),
             "settings": (
-                functools.partial(_read_settings, place=place),
+                functools.partial(_read_settings, directory=directory),
                 _yaml_like(_SETTING_KEYS),
             ),
-            "an announcement": (announce, _spoiled(good)),
-            "a datagram": (datagram_wire.decode, _spoiled(_example_datagram())),
-            "an envelope": (_read_envelope, _spoiled(_example_envelope().body)),
-            "a state": (state.decode, _spoiled(state.encode(state.State()))),
+            "an announcement": (announce, _damaged(announcement)),
+            "a datagram": (datagram_wire.decode, _damaged(_example_datagram())),
+            "an envelope": (_read_envelope, _damaged(_example_envelope().body)),
+            "a state": (state.decode, _damaged(state.encode(state.State()))),
             "a record": (
-                functools.partial(_read_record, held=held),
-                _spoiled(vote),
+                functools.partial(_read_record, data_folder=data_folder),
+                _damaged(vote),
             ),
         }
         read, inputs = kinds[kind]
         _run(read, inputs, count)
-        held.close()
+        data_folder.close()
     context.fuzzed = count
 
 
-@then("each fuzzed input was refused by a typed error or taken whole")
+@then("each fuzzed input was refused by a typed error or accepted")
 def _(context):
     # Any other exception has ended the step before with its shortest input.
     assert context.fuzzed
--- a/tests/steps/imports_steps.py
+++ b/tests/steps/imports_steps.py
@@ -15,19 +15,19 @@
 }
 
 
-@when("the modules of an {daemon} are loaded in a fresh process")
+@when("the modules of an {daemon} are imported in a new process")
 def _(context, daemon):
     names = ", ".join(_MODULES[daemon])
     code = f"import sys, {names}; print(*sys.modules)"
-    done = subprocess.run(
+    process = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
     )
-    context.loaded = done.stdout.split()
+    context.imported = process.stdout.split()
 
 
-@then('none of them begins with "{foreign}"')
+@then('no imported module begins with "{foreign}"')
 def _(context, foreign):
-    found = [name for name in context.loaded if name.startswith(foreign)]
-    # A daemon's own `hyssopfold.control_components` is no part of `control`.
-    found = [name for name in found if f"{name}.".startswith(f"{foreign}.")]
-    assert not found, found
+    names = [name for name in context.imported if name.startswith(foreign)]
+    # The daemon's own `hyssopfold.control_components` is not part of `control`.
+    names = [name for name in names if f"{name}.".startswith(f"{foreign}.")]
+    assert not names, names
--- a/tests/steps/logs_steps.py
+++ b/tests/steps/logs_steps.py
@@ -15,16 +15,16 @@
 
 
 def _read(line):
-    """Read a line as operators' tools do; return its fields in order."""
-    fields, place = [], 0
-    while place < len(line):
-        match = _FIELD.match(line, place)
-        assert match, line[place:]
+    """Parse a line as operators' tools do; return its fields in order."""
+    fields, position = [], 0
+    while position < len(line):
+        match = _FIELD.match(line, position)
+        assert match, line[position:]
         value = match.group(2)
         if value.startswith('"'):
             value = json.loads(value)
         fields.append((match.group(1), value))
-        place = match.end()
+        position = match.end()
     return fields
 
 
@@ -58,19 +58,19 @@
     check()
 
 
-@then("each log line gives back exactly the values that were written")
+@then("each log line contains exactly the values that were written")
 def _(context):
     assert context.checked >= 500, context.checked
 
 
 @when("100 decision lines and 3 other lines are logged at one in 10")
 def _(context):
-    sampling = logs.SamplingFilter(10)
+    sampling_filter = logs.SamplingFilter(10)
     names = ["place-decision"] * 100 + ["started"] * 3
     context.written = [
         name
         for name in names
-        if sampling.filter(
+        if sampling_filter.filter(
             logging.LogRecord(
                 "x", logging.INFO, "", 0, logs.Event(name), None, None
             )
--- a/tests/steps/request_log_steps.py
+++ b/tests/steps/request_log_steps.py
@@ -56,7 +56,7 @@
 }
 
 
-class _Kept(logging.Handler):
+class _RecordingHandler(logging.Handler):
     def __init__(self):
         super().__init__()
         self.requests = []
@@ -69,92 +69,100 @@
     logger = logging.getLogger(name)
     logger.propagate = False
     logger.setLevel(logging.INFO)
-    logger.handlers[:] = [_Kept()]
+    logger.handlers[:] = [_RecordingHandler()]
     return logger
 
 
-def _end(sampler, logger, request_id, good, at):
-    with mock.patch.object(request_log.time, "time", return_value=at):
+def _end_request(sampler, logger, request_id, succeeded, now):
+    with mock.patch.object(request_log.time, "time", return_value=now):
         log = request_log.RequestLog(request_id, sampler)
         for number in range(4):
             log.add(logger, "step", number=number)
-        log.end(good)
+        log.end(succeeded)
 
 
 @given("a sampler of {lines:d} lines a second")
 def _(context, lines):
     context.sampler = request_log.Sampler(lines)
-    context.kept_logger = _logger("test.kept")
+    context.recording_logger = _logger("test.kept")
 
 
-def _second(context, name, at):
+def _end_requests(context, name, now):
     for number in range(100):
         request_id = f"good {name} {number}"
-        _end(context.sampler, context.kept_logger, request_id, True, at)
+        _end_request(
+            context.sampler, context.recording_logger, request_id, True, now
+        )
     for number in range(5):
         request_id = f"bad {name} {number}"
-        _end(context.sampler, context.kept_logger, request_id, False, at)
+        _end_request(
+            context.sampler, context.recording_logger, request_id, False, now
+        )
 
 
-@when("100 good requests and 5 failed ones of 4 lines each end in a second")
+@when("100 successful and 5 failed requests of 4 lines each end in a second")
 def _(context):
-    _second(context, "a", 1000.5)
+    _end_requests(context, "a", 1000.5)
 
 
-@when("another 100 good requests and 5 failed ones end a second later")
+@when("another 100 successful and 5 failed requests end a second later")
 def _(context):
-    _second(context, "b", 1001.5)
+    _end_requests(context, "b", 1001.5)
 
 
-def _written(context, word):
-    kept = context.kept_logger.handlers[0].requests
-    return [one for one in kept if one.startswith(word)]
+def _written(context, prefix):
+    request_ids = context.recording_logger.handlers[0].requests
+    return [
+        request_id
+        for request_id in request_ids
+        if request_id.startswith(prefix)
+    ]
 
 
-@then("all lines of the failed ones were written")
+@then("all lines of the failed requests were written")
 def _(context):
     assert len(_written(context, "bad")) == 2 * 5 * 4
 
 
 @then(
-    "fewer than {most:d} lines of the good ones were written, and the rest counted"
+    "fewer than {limit:d} lines of the others were written and the rest counted"
 )
-def _(context, most):
-    good = len(_written(context, "good"))
-    assert 0 < good < most, good
-    assert context.sampler.left_out == 800 - good
+def _(context, limit):
+    count = len(_written(context, "good"))
+    assert 0 < count < limit, count
+    assert context.sampler.left_out == 800 - count
 
 
-@given("two samplers of {lines:d} lines a second with unlike load")
+@given("two samplers of {lines:d} lines a second with different load")
 def _(context, lines):
-    context.kept_by = []
-    for busy in (4, 1):
+    context.written_by = []
+    for load in (4, 1):
         sampler = request_log.Sampler(lines)
-        logger = _logger(f"test.kept.{busy}")
+        logger = _logger(f"test.kept.{load}")
         for second in range(3):
             logger.handlers[0].requests.clear()
             for number in range(200):
-                at = 1000.5 + second
-                # The busier one serves others beside.
-                for _ in range(busy - 1):
-                    sampler.should_write(f"other {number}", 4, at)
-                _end(sampler, logger, f"r{number}", True, at)
-        context.kept_by.append(set(logger.handlers[0].requests))
+                now = 1000.5 + second
+                # The busier process also serves other requests.
+                for _ in range(load - 1):
+                    sampler.should_write(f"other {number}", 4, now)
+                _end_request(sampler, logger, f"r{number}", True, now)
+        context.written_by.append(set(logger.handlers[0].requests))
 
 
-@then("what the busier one keeps the other one keeps too")
+@then("the requests that the busier one writes are also written by the other")
 def _(context):
-    busier, other = context.kept_by
+    busier, other = context.written_by
     assert busier < other, (len(busier), len(other))
 
 
-@given("a handler whose reader does not read")
+@given("a log handler whose reader is stalled")
 def _(context):
     context.reader, writer = os.pipe()
     context.add_cleanup(os.close, context.reader)
     context.add_cleanup(os.close, writer)
-    context.bounded = log_output.BoundedHandler(writer, 1e9)
-    context.bounded.setFormatter(logs.KeyValueFormatter("e1"))
+    context.handler = log_output.BoundedHandler(writer, 1e9)
+    context.handler.setFormatter(logs.KeyValueFormatter("e1"))
 
 
 @when("{count:d} lines are logged")
@@ -162,43 +170,43 @@
     logger = logging.getLogger("test.stalled")
     logger.propagate = False
     logger.setLevel(logging.INFO)
-    logger.handlers[:] = [context.bounded]
+    logger.handlers[:] = [context.handler]
     context.logged = count
-    began = time.monotonic()
+    start = time.monotonic()
     for number in range(count):
         logger.info(logs.Event("step", number=number))
-    context.took_s = time.monotonic() - began
+    context.took_s = time.monotonic() - start
 
 
-@then("it took less than {most:g} s and the lines left out are counted")
-def _(context, most):
-    assert context.took_s < most, context.took_s
-    assert 0 < context.bounded.left_out < context.logged
+@then("it took less than {max_s:g} s and the dropped lines are counted")
+def _(context, max_s):
+    assert context.took_s < max_s, context.took_s
+    assert 0 < context.handler.left_out < context.logged
 
 
-@when("the reader reads again")
+@when("the reader of the log resumes")
 def _(context):
-    got = []
+    received = []
 
     def read():
         while not context.done.is_set():
-            got.append(os.read(context.reader, 1 << 20))
+            received.append(os.read(context.reader, 1 << 20))
 
     context.done = threading.Event()
-    reading = threading.Thread(target=read, daemon=True)
-    reading.start()
+    reader_thread = threading.Thread(target=read, daemon=True)
+    reader_thread.start()
     for _ in range(20):
-        context.bounded.flush()
+        context.handler.flush()
         time.sleep(0.01)
     context.done.set()
     logging.getLogger("test.stalled").info(logs.Event("step", number=0))
-    reading.join(2)
-    context.got = b"".join(got)
+    reader_thread.join(2)
+    context.received = b"".join(received)
 
 
-@then("the lines that it gets are whole")
+@then("the lines that the reader receives are whole")
 def _(context):
-    lines = context.got.decode().splitlines()
+    lines = context.received.decode().splitlines()
     assert len(lines) > 100
     for line in lines[:-1]:
         assert logs.parse_line(line).get("event") in ("step", "message"), line
@@ -212,9 +220,9 @@
     ]
 
 
-@then('its explanation holds "{words}"')
-def _(context, words):
+@then('its explanation contains "{text}"')
+def _(context, text):
     other = _HEAD.format(n=0) + " event=ended request=r2 outcome=answered"
     lines = explain.gather("r1", [*reversed(context.explained), other])
     assert len(lines) == len(context.explained)
-    assert words in explain.cause(lines), explain.cause(lines)
+    assert text in explain.cause(lines), explain.cause(lines)
--- a/tests/steps/security_steps.py
+++ b/tests/steps/security_steps.py
@@ -60,19 +60,21 @@
     for number in range(3):
         sealed = context.peer.seal(KIND, b"%d" % number)
         assert context.keyring.open(KIND, sealed) == b"%d" % number
-        assert _refuses(context.keyring, sealed), "taken in twice"
+        assert _refuses(context.keyring, sealed), "accepted twice"
         context.clock.now += auth.MAX_AGE_S / 2
-        assert _refuses(context.keyring, sealed), "taken in twice, later"
+        assert _refuses(context.keyring, sealed), "accepted twice, later"
 
 
-@then("the keyring refuses one changed, cut, of another kind, old or early")
+@then(
+    "the keyring refuses changed, cut, old and early messages and other types"
+)
 def _(context):
     sealed = context.peer.seal(KIND, b"message")
-    for place in range(len(sealed)):
+    for position in range(len(sealed)):
         changed = bytearray(sealed)
-        changed[place] ^= 1
-        assert _refuses(context.keyring, bytes(changed)), place
-        assert _refuses(context.keyring, sealed[:place]), place
+        changed[position] ^= 1
+        assert _refuses(context.keyring, bytes(changed)), position
+        assert _refuses(context.keyring, sealed[:position]), position
     assert _refuses(context.keyring, sealed, "Poll")
     context.clock.now += auth.MAX_AGE_S + 1
     assert _refuses(context.keyring, sealed)
@@ -90,16 +92,16 @@
     assert _refuses(context.keyring, b"\x93")
 
 
-@then("the keyring remembers no more proofs than its bound")
+@then("the keyring stores no more proofs than its limit")
 def _(context):
-    auth.MAX_REMEMBERED, usual = 50, auth.MAX_REMEMBERED
+    auth.MAX_REMEMBERED, original = 50, auth.MAX_REMEMBERED
     try:
         for _ in range(200):
             context.keyring.open(KIND, context.peer.seal(KIND, b"m"))
             context.clock.now += 0.001
         assert len(context.keyring._seen) <= 50
     finally:
-        auth.MAX_REMEMBERED = usual
+        auth.MAX_REMEMBERED = original
     context.clock.now += 3 * auth.MAX_AGE_S
     context.keyring.open(KIND, context.peer.seal(KIND, b"m"))
     assert len(context.keyring._seen) == 1
@@ -125,15 +127,15 @@
     return {"headers": headers}
 
 
-@when('a request shows the token header "{header}"')
+@when('a request has the authorization header "{header}"')
 def _(context, header):
     context.answer = context.guard.refuse(_scope(header))
 
 
-@then('the token guard\'s verdict is "{verdict}"')
-def _(context, verdict):
-    got = "passes" if context.answer is None else str(context.answer.status)
-    assert got == verdict, got
+@then('the result of the token guard is "{result}"')
+def _(context, result):
+    actual = "passes" if context.answer is None else str(context.answer.status)
+    assert actual == result, actual
 
 
 def _folder(context):
@@ -142,26 +144,26 @@
     return pathlib.Path(folder)
 
 
-@given("a token file that a guard was loaded from")
+@given("a token guard loaded from a token file")
 def _(context):
     context.path = _folder(context) / "tokens"
     context.path.write_text("# ours\nthe-first-token-of-ours\n")
     context.guard = access.load(str(context.path), "ask")
     context.reloader = reloading.Reloader()
 
-    def use():
+    def reload_tokens():
         context.guard.replace(auth.read_keys(str(context.path)))
 
-    context.reloader.watch((str(context.path),), use)
+    context.reloader.watch((str(context.path),), reload_tokens)
 
 
 def _passes(guard, token):
     return guard.refuse(_scope(f"Bearer {token}")) is None
 
 
-@when("the token file is replaced, then spoilt, then removed, then mended")
+@when("the token file is replaced, then damaged, then removed, then restored")
 def _(context):
-    context.seen = []
+    context.accepted = []
     steps = (
         "the-first-token-of-ours\nthe-second-token-of-ours\n",
         "short\n",
@@ -172,11 +174,11 @@
         if text is None:
             context.path.unlink()
         else:
-            other = context.path.with_suffix(".new")
-            other.write_text(text)
-            os.replace(other, context.path)
+            new_file = context.path.with_suffix(".new")
+            new_file.write_text(text)
+            os.replace(new_file, context.path)
         context.reloader.check()
-        context.seen.append(
+        context.accepted.append(
             [
                 _passes(context.guard, f"the-{name}-token-of-ours")
                 for name in ("first", "second")
@@ -184,10 +186,10 @@
         )
 
 
-@then("the token guard followed the good files and kept the last good one")
+@then("the token guard used each valid file and kept the last valid tokens")
 def _(context):
     both, second = [True, True], [False, True]
-    assert context.seen == [both, both, both, second], context.seen
+    assert context.accepted == [both, both, both, second], context.accepted
 
 
 def _copy(name, folder):
@@ -215,7 +217,7 @@
 
 
 async def _tls_status(address, token):
-    """Return the status of a GET, and the certificate shown."""
+    """Return the status of a GET and the name in the server's certificate."""
     context = ssl.create_default_context(cafile=str(KEYS / "ca.pem"))
     host, _, port = address.rpartition(":")
     stream = await trio.open_tcp_stream(host, int(port))
@@ -227,8 +229,8 @@
             "connection: close\r\n\r\n".encode()
         )
         head = await tls.receive_some()
-        shown = tls.getpeercert()
-    return int(head.split()[1]), shown["subject"][0][0][1]
+        certificate = tls.getpeercert()
+    return int(head.split()[1]), certificate["subject"][0][0][1]
 
 
 @when("operators with and without the token connect over TLS")
@@ -237,17 +239,17 @@
         with trio.fail_after(20):
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(application.run_control, context.cfg)
-                context.got = await _drive(context)
+                context.responses = await _connect_operators(context)
                 nursery.cancel_scope.cancel()
 
-    reloading.PERIOD_S, usual = 0.05, reloading.PERIOD_S
+    reloading.PERIOD_S, original = 0.05, reloading.PERIOD_S
     try:
         trio.run(main)
     finally:
-        reloading.PERIOD_S = usual
+        reloading.PERIOD_S = original
 
 
-async def _drive(context):
+async def _connect_operators(context):
     address = context.system.control
     while True:
         with contextlib.suppress(OSError):
@@ -257,23 +259,28 @@
             break
         await trio.sleep(0.05)
     token = "the-operators-token-1"
-    got = [await _tls_status(address, None), await _tls_status(address, token)]
+    responses = [
+        await _tls_status(address, None),
+        await _tls_status(address, token),
+    ]
     _copy("two", context.folder)
     while True:
         status, name = await _tls_status(address, token)
         if name == "two":
-            return [*got, (status, name)]
+            return [*responses, (status, name)]
         await trio.sleep(0.05)
 
 
-@then("only the operator with the token was let through")
+@then("only the operator with the token was accepted")
 def _(context):
-    assert context.got[:2] == [(401, "one"), (200, "one")], context.got
+    assert context.responses[:2] == [(401, "one"), (200, "one")], (
+        context.responses
+    )
 
 
-@then("after the certificate was replaced new connections see the new one")
+@then("new connections get the new certificate after it was replaced")
 def _(context):
-    assert context.got[2] == (200, "two"), context.got
+    assert context.responses[2] == (200, "two"), context.responses
 
 
 def _files(name):
@@ -284,20 +291,20 @@
     )
 
 
-@given("a link server with a certificate that asks for one")
+@given("an rpc server with a certificate that requires client certificates")
 def _(context):
     context.tls = certificates.ServerContext(_files("one")).context
 
 
-@when("peers with a certificate of ours, a stranger's and none call it")
+@when("peers with a valid, a foreign and no certificate call the rpc server")
 def _(context):
     links = rpc.Links(auth.Keyring(), random.Random(1))
     address = loopback.free_address()
-    bare = ssl.create_default_context(cafile=str(KEYS / "ca.pem"))
+    no_certificate = ssl.create_default_context(cafile=str(KEYS / "ca.pem"))
     contexts = [
         certificates.ClientContext(_files("two")).context,
         certificates.ClientContext(_files("stranger")).context,
-        bare,
+        no_certificate,
         None,
     ]
 
@@ -315,8 +322,8 @@
                     links._replace(server_tls=context.tls),
                 )
                 for tls in contexts:
-                    mine = links._replace(client_tls=tls)
-                    client = rpc.Client(address, mine)
+                    client_links = links._replace(client_tls=tls)
+                    client = rpc.Client(address, client_links)
                     context.outcomes.append(
                         await rpc_steps._outcome(client, rpc_steps.Ping(), 1.0)
                     )
@@ -325,10 +332,10 @@
     trio.run(main)
 
 
-@then("only the peer with a certificate of ours was answered")
+@then("only the peer with the valid certificate was answered")
 def _(context):
-    good, *others = context.outcomes
-    assert good == rpc_steps.Pong(b"hello"), good
+    first, *others = context.outcomes
+    assert first == rpc_steps.Pong(b"hello"), first
     for other in others:
         assert isinstance(other, errors.PeerUnavailableError), other
 
@@ -339,7 +346,7 @@
     (folder / "keys").write_text("tooshort\n")
     system = loopback.System(folder)
     cfg = system.control_settings()
-    spoilt = (
+    unusable = (
         {"peer_key_file": f"{folder}/keys"},
         {"operators_token_file": f"{folder}/none"},
         {
@@ -348,14 +355,14 @@
         },
     )
     context.texts = []
-    for fields in spoilt:
+    for fields in unusable:
         try:
             security.load(cfg._replace(**fields), random.Random(1))
         except errors.InvalidDocumentError as exc:
             context.texts.append(str(exc))
 
 
-@then("each unusable file is told with its remedy and no key is shown")
+@then("each unusable file is reported with a remedy and no key is shown")
 def _(context):
     keys, token, certificate = context.texts
     assert "16 letters or more" in keys, keys
@@ -365,7 +372,7 @@
 
 
 class SealedSystem(loopback.System):
-    """A small system whose processes know each other."""
+    """A small system whose processes authenticate each other."""
 
     def _common(self, *arguments):
         fields = super()._common(*arguments)
@@ -376,7 +383,7 @@
         return fields
 
 
-@given("a system whose processes share keys and show certificates")
+@given("a system whose processes share keys and use certificates")
 def _(context):
     folder = _folder(context)
     (folder / "keys").write_text("the-key-of-all-our-processes\n")
--- a/tests/steps/settings_steps.py
+++ b/tests/steps/settings_steps.py
@@ -76,22 +76,24 @@
         context.faults = exc.faults
 
 
-@then("every settings fault is told once with its line and what is allowed")
+@then("every settings fault is reported once with its line and what is allowed")
 def _(context):
-    told = [(fault.line, fault.where) for fault in context.faults]
-    assert set(told) == EXPECTED, told
-    # Under control both the name twice and this instance's absence are told.
-    assert len(told) == len(EXPECTED) + 1, told
+    reported = [(fault.line, fault.where) for fault in context.faults]
+    assert set(reported) == EXPECTED, reported
+    # `control` has two faults: a duplicate name and this instance's absence.
+    assert len(reported) == len(EXPECTED) + 1, reported
     assert all(fault.allowed for fault in context.faults)
 
 
 @then('the settings fault names "{key}" and allows "{allowed}"')
 def _(context, key, allowed):
-    told = [str(fault) for fault in context.faults]
-    assert any(key in text and allowed in text for text in told), told
+    reported = [str(fault) for fault in context.faults]
+    assert any(key in text and allowed in text for text in reported), reported
 
 
-@then("the settings are said to let anyone announce")
+@then("the settings have the warning that anyone may announce")
 def _(context):
-    told = security.unprotected(settings.load_entry(str(context.settings)))
-    assert told == ["anyone may announce; set announce_token_file"], told
+    warnings = security.unprotected(settings.load_entry(str(context.settings)))
+    assert warnings == ["anyone may announce; set announce_token_file"], (
+        warnings
+    )
--- a/tests/steps/supervisor_steps.py
+++ b/tests/steps/supervisor_steps.py
@@ -37,7 +37,7 @@
     assert context.starts == context.expected, context.starts
 
 
-@when("a task of a supervised child finds an invariant broken")
+@when("a task of a supervised child detects a violated invariant")
 def _(context):
     context.starts = 0
 
@@ -71,7 +71,7 @@
     context.lines = printed.getvalue().splitlines()
 
 
-@when("a daemon's child keeps failing with a text that would forge a line")
+@when("a child of a daemon keeps failing with a text that would forge a line")
 def _(context):
     async def child():
         raise ValueError("fire\nchild-failed: forged")
@@ -85,7 +85,7 @@
     _run(context, main)
 
 
-@then("the daemon ended with status 1 and one last line that says why")
+@then("the daemon ended with status 1 and one last line that names the cause")
 def _(context):
     assert context.status == 1
     assert len(context.lines) == 1, context.lines
--- a/tests/supervisor.feature
+++ b/tests/supervisor.feature
@@ -1,20 +1,20 @@
-Feature: a child that fails is restarted, one that keeps failing ends it all
-  A task of a daemon dies. Callers must not notice one death; a task that dies
-  again and again must not leave a process that looks alive and does nothing.
+Feature: a failed child is restarted; one that keeps failing ends the process
+  Callers must not notice the failure of one task of a daemon. If a task keeps
+  failing, the process must end instead of staying alive without doing its work.
 
-  Scenario: a child fails now and then
+  Scenario: a child fails occasionally
     When a supervised child fails 20 times, a minute apart, and then returns
     Then the supervised child was restarted each time
 
-  Scenario: a child keeps failing, inside all the loops of a daemon
-    When a daemon's child keeps failing with a text that would forge a line
-    Then the daemon ended with status 1 and one last line that says why
+  Scenario: a child keeps failing within the event loops of a daemon
+    When a child of a daemon keeps failing with a text that would forge a line
+    Then the daemon ended with status 1 and one last line that names the cause
 
-  Scenario: a broken invariant ends the process, also out of a task of the child
-    A member that goes on voting from a state that is broken can accept two
-    edits in the place of one.
+  Scenario: a violated invariant in a task of the child ends the process
+    A member that goes on voting from an invalid state can accept two edits for
+    one revision.
 
-    When a task of a supervised child finds an invariant broken
+    When a task of a supervised child detects a violated invariant
     Then the supervised child was not restarted
 
   Scenario: two errors at once
