--- a/hyssopfold/entry_components.py
+++ b/hyssopfold/entry_components.py
@@ -128,7 +128,7 @@
             rpc.Clients(links),
             self.rng,
             timing=follower.Timing(hold_s=cfg.poll_s),
-            knows_all=bool(addresses),
+            control_is_complete=bool(addresses),
         )
 
     def _create_placement(
@@ -259,7 +259,7 @@
             return
         addresses = [
             record.rpc_address
-            for record in self.directory.instances.words()
+            for record in self.directory.instances.records()
             if record.role == "control" and record.rpc_address
         ]
         self.config.set_control(addresses)
--- a/hyssopfold/instances.py
+++ b/hyssopfold/instances.py
@@ -8,6 +8,6 @@
 
 def answer(gossip_service: gossip.Gossip) -> http.Answer:
     """Return the records of the instances whose lease has not expired."""
-    records = gossip_service.directory.instances.words()
+    records = gossip_service.directory.instances.records()
     fields = [record._asdict() for record in records]
     return http.json_answer({"instances": fields})
--- a/tests/steps/core/balancing/reopened_steps.py
+++ b/tests/steps/core/balancing/reopened_steps.py
@@ -38,7 +38,7 @@
     'server "{name}" announces at {at:g} s that it stays cold for {seconds:g} s'
 )
 def _(context, name, at, seconds):
-    context.directory.note_cold(_server(name, context.domain, seconds), at)
+    context.directory.record_cold(_server(name, context.domain, seconds), at)
 
 
 @then('server "{name}" is treated as {state} at {at:g} s')
