--- a/hyssopfold/cmd/status.py
+++ b/hyssopfold/cmd/status.py
@@ -19,7 +19,8 @@
 PATH = "/hyssop/v1/status"
 _TIMEOUT_S = 3.0
 _WORKERS = 16
-# Largest difference between the entries' clocks that is not reported.
+# Largest difference between the entries' clocks that is not reported, in
+# addition to the time that collecting the answers may take.
 _MAX_CLOCK_DIFFERENCE_S = 2.0
 
 Body = Mapping[str, Any]
--- a/hyssopfold/http.py
+++ b/hyssopfold/http.py
@@ -152,7 +152,7 @@
 
     Args:
         app: ASGI application.
-        address: IP number and port.
+        address: IP address and port.
         stop: Set to stop accepting and to finish requests in flight.
         grace_s: Longest time in seconds to wait for requests in flight, or a
             function that returns it once `stop` is set.
@@ -190,7 +190,7 @@
 
 
 async def listen(address: str) -> list[trio.SocketListener]:
-    """Return listeners on `address`, an IP number and port.
+    """Return listeners on `address`, an IP address and port.
 
     Raises:
         PortBusyError: when another process uses the address.
--- a/hyssopfold/standin/caller.py
+++ b/hyssopfold/standin/caller.py
@@ -19,7 +19,8 @@
 
 MAX_SENDS = 4
 MAX_WAIT_S = 2.0
-# Share of a retry-after time that the stand-in waits, to keep tests short.
+# Share of a retry-after time that the stand-in waits; a caller in a trial waits
+# less than a real one.
 RETRY_WAIT_SHARE = 0.05
 _BODY_PART = b"\0" * 65_536
 _CONNECTION_ERRORS = (
@@ -169,7 +170,7 @@
         """Send a request through `entry` and return the answer.
 
         Args:
-            entry: IP number and port of the entry.
+            entry: IP address and port of the entry.
             method: HTTP method.
             path: Path and query.
             size: Bytes of body to send.
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -15,22 +15,22 @@
 WAIT_S = 20
 
 
-# Below the ports that the system gives to connections: one of these could be
-# taken between the choice of an address and its use. Processes that run beside
-# each other begin in blocks of their own.
+# Ports below the ephemeral range: an ephemeral port could be assigned to a
+# connection between the choice of an address and its use. Processes that run in
+# parallel start in different blocks.
 _FIRST_PORT = 10_000
-_PORTS_EACH = 200
+_PORTS_PER_BLOCK = 200
 _BLOCKS = 110
-_ports = itertools.cycle(range(_PORTS_EACH))
+_ports = itertools.cycle(range(_PORTS_PER_BLOCK))
 
 
 def free_address(kind=socket.SOCK_STREAM):
-    """Return an address that nothing uses at this moment."""
-    first = _FIRST_PORT + os.getpid() % _BLOCKS * _PORTS_EACH
-    for step in itertools.islice(_ports, _PORTS_EACH):
+    """Return an address that is not in use."""
+    first = _FIRST_PORT + os.getpid() % _BLOCKS * _PORTS_PER_BLOCK
+    for step in itertools.islice(_ports, _PORTS_PER_BLOCK):
         address = ("127.0.0.1", first + step)
         with socket.socket(type=kind) as sock:
-            # As listeners do: a closed connection holds its port for a minute.
+            # Like listeners: a closed connection occupies its port for a minute.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
                 sock.bind(address)
@@ -48,10 +48,10 @@
 
 
 class System:
-    """Addresses of the processes of a small system.
+    """Addresses and settings of the processes of a small system.
 
     Args:
-        folder: Where settings and durable state go.
+        folder: Directory of the settings and the durable state.
     """
 
     def __init__(self, folder):
