--- a/tests/steps/fuzz/inputs_steps.py
+++ b/tests/steps/fuzz/inputs_steps.py
@@ -174,5 +174,5 @@
 
 @then("each fuzzed input was refused by a typed error or accepted")
 def _(context):
-    # Any other exception has ended the step before with its shortest input.
+    # Any other exception makes the step above fail, with a minimal input.
     assert context.fuzzed
