--- a/hyssopfold/entry_components.py
+++ b/hyssopfold/entry_components.py
@@ -302,7 +302,7 @@
         return leaving.Leave(
             core_stop.Stop(
                 self.cfg.lookup_ttl_s,
-                gossip.SPREAD_S + lookups.MAX_AGE_S,
+                gossip.PROPAGATION_S + lookups.MAX_AGE_S,
                 self.cfg.stop_max_s,
                 self.cfg.stop_serve_s,
             ),
--- a/hyssopfold/security.py
+++ b/hyssopfold/security.py
@@ -44,7 +44,7 @@
         reloader: Reads the files again when they change.
     """
 
-    links: rpc.Links
+    links: rpc.ConnectionConfig
     operators: access.Guard
     announcers: access.Guard
     tls: certificates.ServerContext | None
@@ -133,12 +133,12 @@
     cfg: settings.ControlSettings | settings.EntrySettings,
     rng: random.Random,
     reloader: reloading.Reloader,
-) -> rpc.Links:
+) -> rpc.ConnectionConfig:
     keyring = auth.load(cfg.peer_key_file, cfg.peer_key_required)
     if cfg.peer_key_file:
         reload_keys = functools.partial(auth.reload, keyring, cfg.peer_key_file)
         reloader.watch((cfg.peer_key_file,), reload_keys)
-    links = rpc.Links(keyring, rng)
+    links = rpc.ConnectionConfig(keyring, rng)
     if not cfg.peer_certificate_file:
         return links
     files = certificates.Files(
