--- a/hyssopfold/control_components.py
+++ b/hyssopfold/control_components.py
@@ -58,7 +58,7 @@
         self.cfg = cfg
         self.rng = random.Random()
         self.security = security.load(cfg, self.rng)
-        links = self.security.links
+        connection_config = self.security.connection_config
         self._member = self._open_member(data)
         self._confirmations = publisher.Confirmations(self._member.confirm)
         self._publisher = publisher.Publisher(
@@ -72,7 +72,7 @@
             identity.initial_record(cfg, "control"),
             cfg.gossip_seeds,
             cfg.lease_s,
-            links.keyring,
+            connection_config.keyring,
             self.rng,
         )
         self._quarantine_records = quarantine_records.QuarantineRecords(
@@ -126,7 +126,9 @@
             0 if cfg.control else cfg.voters,
             cfg.region,
         )
-        connect = functools.partial(rpc.Client, cfg=self.security.links)
+        connect = functools.partial(
+            rpc.Client, cfg=self.security.connection_config
+        )
         return instance.Instance(
             member, member_records, connect, cfg.edit_timeout_s
         )
@@ -149,7 +151,10 @@
             poll_wire.POLL: self._publisher.poll,
         }
         serve = functools.partial(
-            rpc.serve, self.cfg.rpc_address, handlers, self.security.links
+            rpc.serve,
+            self.cfg.rpc_address,
+            handlers,
+            self.security.connection_config,
         )
         return [
             ("member", self._member.run),
--- a/hyssopfold/entry_components.py
+++ b/hyssopfold/entry_components.py
@@ -1,4 +1,4 @@
-"""Creates the components of an entry and connects them."""
+"""Composition root of an entry."""
 
 from collections.abc import Awaitable
 from collections.abc import Callable
@@ -50,7 +50,7 @@
 
 
 class EntryComponents:
-    """The components of an entry, connected as its settings say.
+    """Builds the components of an entry and connects them.
 
     Args:
         cfg: Settings of the entry.
@@ -72,7 +72,7 @@
             identity.initial_record(cfg, "entry"),
             cfg.gossip_seeds,
             cfg.lease_s,
-            self.security.links.keyring,
+            self.security.connection_config.keyring,
             self.rng,
         )
         self.directory = self.gossip_service.directory
@@ -110,22 +110,22 @@
         self.claims = claims.Claims(
             lambda: self.gossip_service.myself,
             self.directory,
-            rpc.Clients(self.security.links),
+            rpc.Clients(self.security.connection_config),
             core_claims.ClaimTable(),
         )
         self.interfaces = self._create_interfaces(adapters)
         self.apps = self._create_apps(adapters)
 
     def _create_configuration(self) -> configuration.Configuration:
-        cfg, links = self.cfg, self.security.links
+        cfg, connection_config = self.cfg, self.security.connection_config
         addresses = [member.rpc_address for member in cfg.control]
         return configuration.Configuration(
             cfg.name,
             [
-                rpc.Client(address, links)
+                rpc.Client(address, connection_config)
                 for address in addresses or cfg.control_seeds
             ],
-            rpc.Clients(links),
+            rpc.Clients(connection_config),
             self.rng,
             timing=follower.Timing(hold_s=cfg.poll_s),
             control_is_complete=bool(addresses),
@@ -288,7 +288,10 @@
                 **self.claims.handlers(),
             }
             serve = functools.partial(
-                rpc.serve, self.cfg.rpc_address, handlers, self.security.links
+                rpc.serve,
+                self.cfg.rpc_address,
+                handlers,
+                self.security.connection_config,
             )
             children.append(("rpc", serve))
         return children
--- a/hyssopfold/security.py
+++ b/hyssopfold/security.py
@@ -37,14 +37,14 @@
     """Authentication of a process: its peers, operators and servers.
 
     Attributes:
-        links: Keys and TLS contexts of connections to other instances.
+        connection_config: Keys and TLS contexts for other instances.
         operators: Checks the tokens of operators.
         announcers: Checks the tokens of backend servers.
         tls: Context of `http_address`, or None for plain HTTP.
         reloader: Reads the files again when they change.
     """
 
-    links: rpc.ConnectionConfig
+    connection_config: rpc.ConnectionConfig
     operators: access.Guard
     announcers: access.Guard
     tls: certificates.ServerContext | None
@@ -58,7 +58,7 @@
 
     Args:
         cfg: Settings of the process.
-        rng: Source of randomness of the links.
+        rng: Source of random numbers of the connections to other instances.
 
     Raises:
         InvalidDocumentError: when a file cannot be used.
@@ -68,13 +68,13 @@
     operators = _guard(
         getattr(cfg, "operators_token_file", ""), _OPERATORS_REMEDY, reloader
     )
-    links = _links(cfg, rng, reloader)
+    connection_config = _connection_config(cfg, rng, reloader)
     tls = None
     if cfg.tls_certificate_file:
         files = certificates.Files(cfg.tls_certificate_file, cfg.tls_key_file)
         tls = certificates.ServerContext(files)
         reloader.watch(files[:2], tls.reload)
-    return Security(links, operators, announcers, tls, reloader)
+    return Security(connection_config, operators, announcers, tls, reloader)
 
 
 def faults(
@@ -129,7 +129,7 @@
     return guard
 
 
-def _links(
+def _connection_config(
     cfg: settings.ControlSettings | settings.EntrySettings,
     rng: random.Random,
     reloader: reloading.Reloader,
@@ -138,9 +138,9 @@
     if cfg.peer_key_file:
         reload_keys = functools.partial(auth.reload, keyring, cfg.peer_key_file)
         reloader.watch((cfg.peer_key_file,), reload_keys)
-    links = rpc.ConnectionConfig(keyring, rng)
+    connection_config = rpc.ConnectionConfig(keyring, rng)
     if not cfg.peer_certificate_file:
-        return links
+        return connection_config
     files = certificates.Files(
         cfg.peer_certificate_file,
         cfg.peer_certificate_key_file,
@@ -152,4 +152,6 @@
     )
     reloader.watch(tuple(files), server.reload)
     reloader.watch(tuple(files), client.reload)
-    return links._replace(server_tls=server.context, client_tls=client.context)
+    return connection_config._replace(
+        server_tls=server.context, client_tls=client.context
+    )
--- a/tests/steps/security_steps.py
+++ b/tests/steps/security_steps.py
@@ -298,7 +298,7 @@
 
 @when("peers with a valid, a foreign and no certificate call the rpc server")
 def _(context):
-    links = rpc.ConnectionConfig(auth.Keyring(), random.Random(1))
+    config = rpc.ConnectionConfig(auth.Keyring(), random.Random(1))
     address = loopback.free_address()
     no_certificate = ssl.create_default_context(cafile=str(KEYS / "ca.pem"))
     contexts = [
@@ -319,11 +319,11 @@
                     rpc.serve,
                     address,
                     {rpc_steps.PING: ping},
-                    links._replace(server_tls=context.tls),
+                    config._replace(server_tls=context.tls),
                 )
                 for tls in contexts:
-                    client_links = links._replace(client_tls=tls)
-                    client = rpc.Client(address, client_links)
+                    client_config = config._replace(client_tls=tls)
+                    client = rpc.Client(address, client_config)
                     context.outcomes.append(
                         await rpc_steps._outcome(client, rpc_steps.Ping(), 1.0)
                     )
