--- a/hyssopfold/application.py
+++ b/hyssopfold/application.py
@@ -122,21 +122,21 @@
         cfg.limits,
         entry.interfaces.data_path.runs_beside,
     )
-    leave = entry.leave(listener)
+    planned_stop = entry.create_planned_stop(listener)
     await _run_daemon(
         cfg,
         entry.apps,
         entry.children(),
         entry.rng,
-        leave.run,
+        planned_stop.run,
         entry.security,
         listener,
     )
     await entry.upstream.aclose()
 
 
-class _PlannedStop:
-    """A planned stop: the event that ends serving and the time that is left.
+class _StopTimer:
+    """Time limit of a planned stop, and the event that ends serving.
 
     Args:
         max_s: Longest duration of the stop in seconds, from the first signal.
@@ -180,7 +180,7 @@
         process_security: Keys, tokens and certificates of the process.
         listener: Connections on `http_address`; created here when left out.
     """
-    stop = _PlannedStop(cfg.stop_max_s)
+    stop = _StopTimer(cfg.stop_max_s)
     app = apps[cfg.http_address]
     async with rpc.open_loop(), trio.open_nursery() as nursery:
         for name, child in children:
@@ -221,7 +221,7 @@
     cfg: settings.ControlSettings | settings.EntrySettings,
     leave: Callable[[], Awaitable[None]],
     listener: serving.Listener,
-    stop: _PlannedStop,
+    stop: _StopTimer,
     reload: Callable[[], None],
 ) -> None:
     async def leave_and_stop() -> None:
--- a/hyssopfold/entry_components.py
+++ b/hyssopfold/entry_components.py
@@ -77,7 +77,7 @@
         )
         self.directory = self.gossip_service.directory
         self.config = self._create_configuration()
-        self.gossip_service.on_revision = self.config.hear
+        self.gossip_service.on_revision = self.config.record_revision
         self.placement = self._create_placement()
         self.connection_pool = connections.Pool(
             self._connection_limit,
@@ -96,7 +96,7 @@
         self.upstream = upstream.Upstream(
             self.connection_pool, self.crash_checks
         )
-        self.client_blocks = blocks.Blocks(cfg.client_blocks)
+        self.client_blocks = blocks.ClientBlocks(cfg.client_blocks)
         self.steering = steering.Steering(
             cfg.region,
             cfg.region_delays_ms,
@@ -105,7 +105,7 @@
             self.client_blocks,
         )
         self.adopt_shares = functools.partial(
-            adoption.adopt, self.gossip_service
+            adoption.adopt_shares, self.gossip_service
         )
         self.claims = claims.Claims(
             lambda: self.gossip_service.myself,
@@ -141,7 +141,7 @@
                 chooser,
                 self.gossip_service,
                 self.rng,
-                lambda: self.config.snapshot.held.evacuated,
+                lambda: self.config.snapshot.state.evacuated,
             )
         # Imported here: only entries that grant slots to each other need them.
         from hyssopfold.core.balancing import node
@@ -296,16 +296,18 @@
             children.append(("rpc", serve))
         return children
 
-    def leave(self, listener: serving.Listener) -> leaving.Leave:
+    def create_planned_stop(
+        self, listener: serving.Listener
+    ) -> leaving.PlannedStop:
         """Return the planned stop of this entry.
 
         Args:
             listener: Connections of callers.
         """
-        return leaving.Leave(
+        return leaving.PlannedStop(
             core_stop.Stop(
                 self.cfg.lookup_ttl_s,
-                gossip.PROPAGATION_S + lookups.MAX_AGE_S,
+                gossip.PROPAGATION_S + lookups.MAX_INDEX_AGE_S,
                 self.cfg.stop_max_s,
                 self.cfg.stop_serve_s,
             ),
