--- a/hyssopfold/control/adapters.py
+++ b/hyssopfold/control/adapters.py
@@ -11,8 +11,8 @@
 from hyssopfold.transport import gossip
 
 
-class ControlParts(NamedTuple):
-    """Parts of a control instance that an adapter's application may call."""
+class ControlInterfaces(NamedTuple):
+    """Components of a control instance that an adapter may call."""
 
     api: api.Api
     instance: instance.Instance
@@ -29,7 +29,9 @@
             operators' API of hyssopfold.
     """
 
-    operators: Callable[[ControlParts], http.App] = lambda parts: parts.api
+    operators: Callable[[ControlInterfaces], http.App] = lambda interfaces: (
+        interfaces.api
+    )
 
 
 OUR_ADAPTERS = ControlAdapters()
--- a/hyssopfold/control_parts.py
+++ b/hyssopfold/control_components.py
@@ -32,8 +32,8 @@
 Child = tuple[str, Callable[[], Awaitable[None]]]
 
 
-class Control:
-    """Builds the parts of a control instance and connects them.
+class ControlComponents:
+    """Builds the components of a control instance and connects them.
 
     Args:
         cfg: Its settings.
@@ -42,8 +42,8 @@
 
     Attributes:
         cfg: Its settings.
-        rng: Source of random numbers of all parts.
-        shared: Keys, tokens, TLS and the watcher of their files.
+        rng: Source of random numbers of all components.
+        security: Keys, tokens, TLS and the watcher of their files.
         gossip_service: Its gossip.
         operators: The operators' API.
         apps: The HTTP applications, by address.
@@ -57,8 +57,8 @@
     ) -> None:
         self.cfg = cfg
         self.rng = random.Random()
-        self.shared = security.load(cfg, self.rng)
-        links = self.shared.links
+        self.security = security.load(cfg, self.rng)
+        connection_config = self.security.connection_config
         self._member = self._open_member(data)
         self._confirmations = publisher.Confirmations(self._member.confirm)
         self._publisher = publisher.Publisher(
@@ -69,10 +69,10 @@
         register = self._member.register
         self._publisher.publish(register.revision, register.value)
         self.gossip_service = gossip.Gossip(
-            identity.myself(cfg, "control"),
+            identity.initial_record(cfg, "control"),
             cfg.gossip_seeds,
             cfg.lease_s,
-            links.keyring,
+            connection_config.keyring,
             self.rng,
         )
         self._quarantine_records = quarantine_records.QuarantineRecords(
@@ -99,11 +99,11 @@
             self._member,
             self.gossip_service,
             metrics.Metrics(cfg.name),
-            self.shared.operators,
-            self.shared.announcers,
+            self.security.operators,
+            self.security.announcers,
         )
         self.apps: dict[str, http.App] = {
-            cfg.http_address: adapters.operators(self._parts_for_adapters())
+            cfg.http_address: adapters.operators(self._create_interfaces())
         }
         if cfg.metrics_address:
             self.apps[cfg.metrics_address] = self.operators
@@ -126,13 +126,15 @@
             0 if cfg.control else cfg.voters,
             cfg.region,
         )
-        connect = functools.partial(rpc.Client, cfg=self.shared.links)
+        connect = functools.partial(
+            rpc.Client, cfg=self.security.connection_config
+        )
         return instance.Instance(
             member, member_records, connect, cfg.edit_timeout_s
         )
 
-    def _parts_for_adapters(self) -> control_adapters.ControlParts:
-        return control_adapters.ControlParts(
+    def _create_interfaces(self) -> control_adapters.ControlInterfaces:
+        return control_adapters.ControlInterfaces(
             self.operators,
             self._member,
             self.operators.orders,
@@ -149,7 +151,10 @@
             poll_wire.POLL: self._publisher.poll,
         }
         serve = functools.partial(
-            rpc.serve, self.cfg.rpc_address, handlers, self.shared.links
+            rpc.serve,
+            self.cfg.rpc_address,
+            handlers,
+            self.security.connection_config,
         )
         return [
             ("member", self._member.run),
@@ -158,7 +163,7 @@
             ("crash-reports", self._crash_reports.run),
             ("quarantine-records", self._quarantine_records.run),
             ("confirmations", self._confirmations.run),
-            ("reloading", self.shared.reloader.run),
+            ("reloading", self.security.reloader.run),
             ("rpc", serve),
         ]
 
--- a/hyssopfold/entry/adapters.py
+++ b/hyssopfold/entry/adapters.py
@@ -15,18 +15,18 @@
 from hyssopfold.entry import proxy
 
 
-class EntryParts(NamedTuple):
-    """The objects of an entry that adapters may call.
+class EntryInterfaces(NamedTuple):
+    """The components of an entry that an adapter may call.
 
     Attributes:
         app: The entry's own ASGI application.
-        forward: Data path: serves the requests of callers.
-        look_up: Answers look-ups.
+        data_path: Serves the requests of callers.
+        lookup_service: Answers look-ups.
     """
 
     app: app.App
-    forward: proxy.Proxy
-    look_up: lookups.Lookups
+    data_path: proxy.Proxy
+    lookup_service: lookups.Lookups
 
 
 class EntryAdapters(NamedTuple):
@@ -40,9 +40,15 @@
     """
 
     headers: dialect.Dialect = dialect.DEFAULT_DIALECT
-    callers: Callable[[EntryParts], http.App] = lambda parts: parts.app
-    lookups: Callable[[EntryParts], http.App] = lambda parts: parts.app
-    probes: Callable[[EntryParts], http.App] = lambda parts: parts.app
+    callers: Callable[[EntryInterfaces], http.App] = lambda interfaces: (
+        interfaces.app
+    )
+    lookups: Callable[[EntryInterfaces], http.App] = lambda interfaces: (
+        interfaces.app
+    )
+    probes: Callable[[EntryInterfaces], http.App] = lambda interfaces: (
+        interfaces.app
+    )
 
 
 OUR_ADAPTERS = EntryAdapters()
--- a/hyssopfold/security.py
+++ b/hyssopfold/security.py
@@ -1,4 +1,4 @@
-"""Keys, tokens and certificates of a process, as its settings name them."""
+"""Loads the keys, tokens and certificates that a process's settings name."""
 
 import functools
 import ipaddress
@@ -20,7 +20,7 @@
 )
 
 
-_NAMED = (
+_FILE_KEY_GROUPS = (
     ("peer_key_file",),
     ("announce_token_file",),
     ("operators_token_file",),
@@ -34,19 +34,31 @@
 
 
 class Security(NamedTuple):
-    """What the parts of a process use to know whom they talk to."""
+    """Authentication of a process: its peers, operators and servers.
+
+    Attributes:
+        connection_config: Keys and TLS contexts for other instances.
+        operators: Checks the tokens of operators.
+        announcers: Checks the tokens of backend servers.
+        tls: Context of `http_address`, or None for plain HTTP.
+        reloader: Reads the files again when they change.
+    """
 
-    links: rpc.ConnectionConfig
+    connection_config: rpc.ConnectionConfig
     operators: access.Guard
     announcers: access.Guard
-    tls: certificates.Server | None
+    tls: certificates.ServerContext | None
     reloader: reloading.Reloader
 
 
 def load(
     cfg: settings.ControlSettings | settings.EntrySettings, rng: random.Random
 ) -> Security:
-    """Return what `cfg` names, each file watched for changes.
+    """Load the files that `cfg` names and watch each for changes.
+
+    Args:
+        cfg: Settings of the process.
+        rng: Source of random numbers of the connections to other instances.
 
     Raises:
         InvalidDocumentError: when a file cannot be used.
@@ -56,49 +68,51 @@
     operators = _guard(
         getattr(cfg, "operators_token_file", ""), _OPERATORS_REMEDY, reloader
     )
-    links = _links(cfg, rng, reloader)
+    connection_config = _connection_config(cfg, rng, reloader)
     tls = None
     if cfg.tls_certificate_file:
         files = certificates.Files(cfg.tls_certificate_file, cfg.tls_key_file)
-        tls = certificates.Server(files)
+        tls = certificates.ServerContext(files)
         reloader.watch(files[:2], tls.reload)
-    return Security(links, operators, announcers, tls, reloader)
+    return Security(connection_config, operators, announcers, tls, reloader)
 
 
 def faults(
     cfg: settings.ControlSettings | settings.EntrySettings,
 ) -> list[errors.Fault]:
-    """Return what is wrong with the files that `cfg` names, all at once."""
-    found: list[errors.Fault] = []
-    for named in _NAMED:
-        alone = {key: getattr(cfg, key, "") for key in named}
-        others: dict[str, Any] = {
+    """Return the faults of all files that `cfg` names."""
+    all_faults: list[errors.Fault] = []
+    for group in _FILE_KEY_GROUPS:
+        paths = {key: getattr(cfg, key, "") for key in group}
+        cleared: dict[str, Any] = {
             key: ""
-            for group in _NAMED
-            for key in group
-            if key not in named and hasattr(cfg, key)
+            for other_group in _FILE_KEY_GROUPS
+            for key in other_group
+            if key not in group and hasattr(cfg, key)
         }
         try:
-            load(cfg._replace(**others), random.Random())
+            load(cfg._replace(**cleared), random.Random())
         except errors.InvalidDocumentError as exc:
-            if any(alone.values()):
-                found += exc.faults
-    return found
+            if any(paths.values()):
+                all_faults += exc.faults
+    return all_faults
 
 
 def unprotected(
     cfg: settings.ControlSettings | settings.EntrySettings,
 ) -> list[str]:
-    """Return what anyone on the network may do with these settings."""
-    found = []
+    """Return a warning for each action that needs no authentication."""
+    warnings = []
     if not cfg.peer_key_file and not _is_loopback(cfg.gossip_address):
-        found.append("datagrams of anyone are believed; set peer_key_file")
+        warnings.append(
+            "datagrams of any sender are accepted; set peer_key_file"
+        )
     if not cfg.announce_token_file and not _is_loopback(cfg.http_address):
-        found.append("anyone may announce; set announce_token_file")
+        warnings.append("anyone may announce; set announce_token_file")
     tokens = getattr(cfg, "operators_token_file", "-")
     if not tokens and not _is_loopback(cfg.http_address):
-        found.append("anyone may edit the tables; set operators_token_file")
-    return found
+        warnings.append("anyone may edit the tables; set operators_token_file")
+    return warnings
 
 
 def _is_loopback(address: str) -> bool:
@@ -115,24 +129,29 @@
     return guard
 
 
-def _links(
+def _connection_config(
     cfg: settings.ControlSettings | settings.EntrySettings,
     rng: random.Random,
     reloader: reloading.Reloader,
 ) -> rpc.ConnectionConfig:
     keyring = auth.load(cfg.peer_key_file, cfg.peer_key_required)
     if cfg.peer_key_file:
-        use = functools.partial(auth.reload, keyring, cfg.peer_key_file)
-        reloader.watch((cfg.peer_key_file,), use)
-    links = rpc.ConnectionConfig(keyring, rng)
+        reload_keys = functools.partial(auth.reload, keyring, cfg.peer_key_file)
+        reloader.watch((cfg.peer_key_file,), reload_keys)
+    connection_config = rpc.ConnectionConfig(keyring, rng)
     if not cfg.peer_certificate_file:
-        return links
+        return connection_config
     files = certificates.Files(
         cfg.peer_certificate_file,
         cfg.peer_certificate_key_file,
         cfg.peer_issuers_file,
     )
-    server, client = certificates.Server(files), certificates.Client(files)
+    server, client = (
+        certificates.ServerContext(files),
+        certificates.ClientContext(files),
+    )
     reloader.watch(tuple(files), server.reload)
     reloader.watch(tuple(files), client.reload)
-    return links._replace(server_tls=server.context, client_tls=client.context)
+    return connection_config._replace(
+        server_tls=server.context, client_tls=client.context
+    )
--- a/tests/steps/cmd/losses_steps.py
+++ b/tests/steps/cmd/losses_steps.py
@@ -63,10 +63,16 @@
     ]
 
 
-@given("torn and foreign lines around them")
+@given("truncated and foreign lines around them")
 def _(context):
-    torn = 'request=r9 event=refused detail="half'
-    foreign = ["", "hello\n", "request=\n", "\x00\xff request=a event=\n", torn]
+    truncated = 'request=r9 event=refused detail="half'
+    foreign = [
+        "",
+        "hello\n",
+        "request=\n",
+        "\x00\xff request=a event=\n",
+        truncated,
+    ]
     context.loss_lines = [*foreign, *context.loss_lines, *foreign]
 
 
@@ -90,16 +96,16 @@
 
 @when("the losses of {count:d} requests without an end are gathered")
 def _(context, count):
-    gatherer = losses.Gatherer()
+    counter = losses.LossCounter()
     context.loss_open = 0
     for number in range(count):
-        gatherer.take(_line("admitted", f"r{number}", "route=all"))
-        context.loss_open = max(context.loss_open, gatherer.held)
+        counter.process_line(_line("admitted", f"r{number}", "route=all"))
+        context.loss_open = max(context.loss_open, counter.open_count)
 
 
-@then("at most {most:d} requests were held at once")
-def _(context, most):
-    assert context.loss_open <= most, context.loss_open
+@then("at most {max_open:d} requests were open at once")
+def _(context, max_open):
+    assert context.loss_open <= max_open, context.loss_open
 
 
 @then("the JSON rows name second, instance, route, cause and count")
--- a/tests/steps/entry/mixed_steps.py
+++ b/tests/steps/entry/mixed_steps.py
@@ -62,18 +62,22 @@
 @then("the servers' ledgers agree with the callers' records")
 def _(context):
     fixture = context.mixed
-    outcomes = fixture.books.told
+    outcomes = fixture.books.outcomes
     assert len(outcomes) == context.sent, len(outcomes)
-    faults = fixture.books.faults(fixture.run_counts(), fixture.once_keys())
+    faults = fixture.books.find_violations(
+        fixture.run_counts(), fixture.once_keys()
+    )
     assert not faults, faults[:5]
 
 
 @then("every mixed request was answered and none was cut")
 def _(context):
     books = context.mixed.books
-    answered = standin_caller.Told.ANSWERED
+    answered = standin_caller.RequestOutcome.ANSWERED
     others = [
-        outcome for outcome in books.told.values() if outcome is not answered
+        outcome
+        for outcome in books.outcomes.values()
+        if outcome is not answered
     ]
     assert not others, others[:5]
     assert not books.cut, books.cut
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -300,7 +300,9 @@
     def answer_bytes_sent(self):
         """Return the bytes of long answers that the stand-ins have sent."""
         return sum(
-            conn.sent for standin in self.standins for conn in standin.open
+            conn.sent
+            for standin in self.standins
+            for conn in standin.open_connections
         )
 
     @contextlib.asynccontextmanager
--- a/tests/support/loopback.py
+++ b/tests/support/loopback.py
@@ -49,7 +49,7 @@
 
 
 class System:
-    """Addresses of the processes of a small system.
+    """Addresses and settings of the processes of a small system.
 
     Args:
         folder: Folder of the settings and the durable state.
--- a/tests/support/mixed.py
+++ b/tests/support/mixed.py
@@ -53,7 +53,7 @@
             path.placement.rotate = True
             path.app = self._app(path)
         self.rng = random.Random(seed)
-        self.books = standin_caller.Books()
+        self.books = standin_caller.OutcomeLedger()
         self.once = set()
         self.stops = []
 
@@ -93,7 +93,7 @@
             path = "/upload" if kind == "PUT" else "/x"
             size = {"GET": 0, "POST": 100, "PUT": UPLOAD_BYTES}[kind]
             seeds = [data_path.address for data_path in self.paths]
-            await caller.ask(seeds, kind, path, size)
+            await caller.send_with_retries(seeds, kind, path, size)
         await caller.aclose()
 
     async def stop_entry(self, path):
@@ -123,4 +123,4 @@
 
     def once_keys(self):
         """Return the keys of the requests that may run only once."""
-        return set().union(*(standin.posted for standin, _ in self.standins))
+        return set().union(*(standin.post_keys for standin, _ in self.standins))
--- a/tests/support/running_entries.py
+++ b/tests/support/running_entries.py
@@ -6,7 +6,7 @@
 import httpcore
 import trio
 
-from hyssopfold import entry_parts
+from hyssopfold import entry_components
 from hyssopfold import http
 from hyssopfold import log_output
 from hyssopfold import serving
@@ -78,7 +78,7 @@
             ),
         )
         cfg = settings.parse_entry(text, "test")
-        return entry_parts.Entry(
+        return entry_components.EntryComponents(
             cfg, adapters.OUR_ADAPTERS, log_output.BoundedHandler(1)
         )
 
@@ -100,8 +100,8 @@
     def start(self, entry, nursery):
         """Start an entry and put the tables in force at it."""
         entry.config.install(1, state.encode(state.State(tables.parse(TABLES))))
-        entry.steer.step(trio.current_time(), time.time())
-        entry.spread.update_self(state="ready")
+        entry.steering.step(trio.current_time(), time.time())
+        entry.gossip_service.update_self(state="ready")
         for name, child in entry.children():
             if name not in _OMITTED_CHILDREN:
                 nursery.start_soon(child)
@@ -117,8 +117,8 @@
     async def _wait_for_members(self):
         with trio.fail_after(_DISCOVERY_TIMEOUT_S):
             while any(
-                len(entry.known.ready_entries()) < len(self.entries)
-                or len(entry.known.ready_servers("ledger")) < self._servers
+                len(entry.directory.ready_entries()) < len(self.entries)
+                or len(entry.directory.ready_servers("ledger")) < self._servers
                 for entry in self.entries.values()
             ):
                 await trio.sleep(0.05)
@@ -146,8 +146,8 @@
     def _update_entries(self, record):
         now = trio.current_time()
         for entry in self.entries.values():
-            entry.known.servers.update(record.server_id, record, now)
-            entry.known.servers.renew(record.server_id, now, _LEASE_S)
+            entry.directory.servers.update(record.server_id, record, now)
+            entry.directory.servers.renew(record.server_id, now, _LEASE_S)
 
     async def ask(self, name, method, fault=""):
         """Send a request to an entry and return the answer.
