--- a/hyssopfold/core/attempts/attempt.py
+++ b/hyssopfold/core/attempts/attempt.py
@@ -41,8 +41,8 @@
 class Attempts:
     """State machine of the attempts of one request.
 
-    The carrier of an entry passes each event to `handle` and executes the
-    returned effects in order. The machine asserts its guarantees: a request
+    The entry passes each event to `handle` and executes the returned effects in
+    order. The machine asserts its guarantees: a request
     that is not repeatable is sent again only if it is certain that no earlier
     attempt ran, and the outcome `not-run` is reported only if that holds for
     all attempts.
@@ -165,7 +165,7 @@
     def body_began(self) -> Effects:
         """Suspend the deadline of the answer while the body is uploaded.
 
-        Unless it is absolute.
+        The deadline stays if the limit is a total limit.
         """
         self.expect(Phase.SENDING)
         self._uploading = True
--- a/hyssopfold/core/attempts/claims.py
+++ b/hyssopfold/core/attempts/claims.py
@@ -137,7 +137,7 @@
         )
 
     def take_over(self, claims: Iterable[Claim], now: float) -> None:
-        """Add the claims of a holder that leaves."""
+        """Add the claims of a holder that leaves, except those settled here."""
         for claim in claims:
             own = self._claims.get(claim.claim_id)
             if own is None or own.state is ClaimState.RUNNING:
--- a/hyssopfold/core/attempts/quarantine.py
+++ b/hyssopfold/core/attempts/quarantine.py
@@ -34,9 +34,10 @@
 # Seconds after an answer within which a crash is not attributed to the request.
 RECENT_ANSWER_S = 10.0
 MAX_RECENT_ANSWERS = 4_096
-# Crashes disproved by answers, after which further ones are not recorded.
+# Cleared crashes of a request, after which no more of its crashes are recorded.
 MAX_CLEARED = 8
 MAX_RECORDS = 2_000
+# Digest in a message that contains none.
 NO_DIGEST = -1
 # The first bytes of a fingerprint, which depend on the request's head alone.
 HEAD_BYTES = 8
@@ -48,7 +49,8 @@
     Attributes:
         fingerprint: The request.
         crashed: Keys of the server incarnations that crashed under it.
-        cleared: Those of them that don't count.
+        cleared: Those of them that don't count, because the request was also
+            answered.
         age_s: Seconds since the last crash.
     """
 
@@ -104,6 +106,7 @@
         self._records: dict[bytes, _Record] = {}
         # Times at which requests were answered at this entry, oldest first.
         self._answered_at: dict[bytes, float] = {}
+        # Number of records by the first bytes of their fingerprints.
         self._heads: dict[bytes, int] = {}
         self.digest = 0
 
--- a/hyssopfold/core/balancing/allowance.py
+++ b/hyssopfold/core/balancing/allowance.py
@@ -1,11 +1,11 @@
 """Limit the rate of requests that all entries together send to a cold server.
 
-A cold server crashes under a rate that a warm one bears, and no entry knows
+A cold server crashes under a rate that a warm one sustains, and no entry knows
 how much the others send. Rendezvous hashing therefore assigns each server's
 rate to a fixed number of entries, each of which enforces its equal share with a
 token bucket. In any second they send at most the rate plus one request each.
-An entry that does not know of all others may choose itself wrongly, but its
-share is no larger.
+An entry that does not know of all others may wrongly count itself among the
+senders, but its share is no larger.
 """
 
 from collections.abc import Collection
@@ -13,10 +13,10 @@
 
 from hyssopfold.core.balancing import affinity
 
-# Entries that may send to one cold server. With two, one may fail, and the
-# token buckets add no more than two requests to a second's rate.
+# Entries that may send to one cold server. With two, one may fail, and their
+# token buckets add at most two requests to the rate in any second.
 SENDERS = 2
-# Share of the rate that is used. The rest allows for jitter of clocks and
+# Factor by which the rate is reduced. The rest allows for jitter of clocks and
 # links, which can move the requests of one second into the next.
 RATE_FACTOR = 0.8
 
@@ -27,7 +27,7 @@
 
 
 class ColdServerAllowance:
-    """This entry's share of the rate that cold servers bear.
+    """This entry's share of the rate that cold servers sustain.
 
     Used by `local.Chooser` to decide whether a cold server may get a request.
 
@@ -38,9 +38,9 @@
     def __init__(self, name: str) -> None:
         self._name = name
         self._buckets: dict[str, _Bucket] = {}
-        # The entries that may send to each server, valid for `_senders_of`.
+        # The entries that may send to each server, cached for `_entries`.
         self._senders: dict[str, tuple[str, ...]] = {}
-        self._senders_of: Collection[str] = ()
+        self._entries: Collection[str] = ()
 
     def record_cold(self, server_id: str, now: float) -> None:
         """Start the token bucket of a server that is known to be cold.
@@ -57,7 +57,7 @@
 
         Args:
             server_id: The server.
-            rate: Requests a second that it bears from all entries together.
+            rate: Requests a second that it sustains from all entries together.
             entries: Names of the entries that serve callers; the same object
                 as long as none of them changes.
             now: Monotonic time in seconds.
@@ -72,8 +72,8 @@
     def _draw_senders(
         self, server_id: str, entries: Collection[str]
     ) -> tuple[str, ...]:
-        if entries is not self._senders_of:
-            self._senders_of = entries
+        if entries is not self._entries:
+            self._entries = entries
             self._senders.clear()
         senders = self._senders.get(server_id)
         if senders is None:
--- a/hyssopfold/core/balancing/election.py
+++ b/hyssopfold/core/balancing/election.py
@@ -73,7 +73,8 @@
         self.term = 0
         self.members: Members = ()
         self.standalone = False
-        # Slots of a server that a grantor may use itself, beside other members.
+        # Slots of a server that a grantor may use itself, if there are other
+        # members.
         self.own_quota = 1
         self.own_limit = 0
         self._established_own_limit = 0
@@ -406,8 +407,8 @@
             # Control is unreachable, or lost the list when all its instances
             # restarted: unknown members may hold slots.
             unreported.add(UNKNOWN_MEMBER)
-        # If a standalone grantor followed the last grantor that control
-        # knows, the latter was an ordinary holder then, without a limit.
+        # If a standalone grantor succeeded the last grantor that control
+        # knows, that one became an ordinary holder without an own limit.
         previous_grantor = (
             self._previous_grantor
             if self._standalone_term <= self._newest_accepted[0]
--- a/hyssopfold/core/balancing/estimates.py
+++ b/hyssopfold/core/balancing/estimates.py
@@ -1,10 +1,11 @@
 """Estimates of run and queueing times from the answers that an entry received.
 
-The length of a queue alone does not tell the wait: nine requests ahead mean a
-tenth of a second where they take 0.1 s each, and more than the latency goal
-where they take two. The module keeps a few numbers for each route and pool.
-Each answer moves them by a small step, so that they follow changes and old
-answers lose their weight.
+The length of a queue alone does not determine the wait: at a server of five
+slots, nine requests mean a wait of a tenth of a second if they take 0.1 s each,
+and one above the latency goal if they take two. The module estimates the run
+time for each route and region, and the mean run time for each pool. Each answer
+moves the estimates by a small step, so that they follow changes and old answers
+lose their weight.
 """
 
 from typing import NamedTuple
@@ -14,14 +15,15 @@
 # takes three times as long.
 PRIOR_CACHED = 0.45
 PRIOR_UNCACHED = 1.4
-# Each answer moves a quantile estimate by up to this share of itself.
+# Each answer moves a quantile estimate by about this share of itself.
 QUANTILE_STEP = 0.1
+# Quantile of the run times that is estimated: the median if the object is
+# cached. If it is not, a higher one, so that a request which must not be late
+# allows for slow runs.
 CACHED_QUANTILE = 0.5
-# Above the median, so that a request which must not be late allows for slow
-# runs.
 UNCACHED_QUANTILE = 0.7
 # An answer that took longer than this multiple of the run time with the object
-# cached is taken for one of a server that did not have it cached.
+# cached counts as one without, unless the server was likely to have it cached.
 UNCACHED_RATIO = 1.7
 # Weight of a new answer in the moving average of a pool's run time.
 MEAN_GAIN = 0.05
--- a/hyssopfold/core/balancing/grantor.py
+++ b/hyssopfold/core/balancing/grantor.py
@@ -1,4 +1,4 @@
-"""Granting of a pool's slots in a region while this entry has the term."""
+"""Grant the slots of a pool in a region during a term won by this entry."""
 
 from collections.abc import Collection
 import random
--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -56,8 +56,8 @@
         servers: The ready servers of the pool; the same object until one of
             them changes.
         is_cold: Returns whether a server, given by its id, is treated as cold.
-        cold_rate: Requests a second that a cold server of the pool bears; 0 if
-            cold servers need no protection.
+        cold_rate: Requests a second that a cold server of the pool sustains; 0
+            if cold servers need no protection.
         warm_up_s: Seconds for which a server of the pool stays cold.
         entries: Names of the entries that serve callers.
         now: Monotonic time in seconds.
@@ -230,8 +230,8 @@
         """Return the candidates, the first one expected to answer first.
 
         The server that ranks first is assumed to have the object cached: other
-        entries may have sent requests for it there, and otherwise it shall load
-        it. If an object stayed at the servers that answered for it last, it
+        entries may have sent requests for it there, and if not, this server is
+        to cache it now. If an object stayed at the servers that answered for it last, it
         would be cached at as many servers as there are entries, and evict other
         objects there.
         """
@@ -419,8 +419,8 @@
             now: Monotonic time in seconds.
 
         Returns:
-            Ids of the servers that get no more requests since this report and
-            those of other entries confirm each other.
+            Ids of the servers that are newly confirmed as silent by this report
+            and those of other entries, and so get no requests.
         """
         server_ids = (self._server_stats.server_id_of(key) for key in keys)
         return tuple(
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -87,8 +87,8 @@
 class BusyServers(NamedTuple):
     """Message: loads of busy servers, as their answers reported them.
 
-    Each load is the key of a server incarnation (see `server_stats.incarnation_key`)
-    and the number of its requests.
+    Each load is the key of a server incarnation (see
+    `server_stats.incarnation_key`) and the number of its requests.
     """
 
     loads: tuple[tuple[int, int], ...]
@@ -260,11 +260,11 @@
 
 
 class SlotSync(NamedTuple):
-    """Message: all slots that a holder uses, up to `highest_number`.
+    """Message: slots in use and pending slot requests of a holder.
 
-    A slot that the grantor still counts, but that is not listed here, was
-    released and the release message was lost. Requests numbered up to
-    `highest_number` that arrive later are late and must be ignored.
+    `highest_number` is the number of its last slot request. A slot numbered up
+    to this that the grantor still counts, but that is not listed here, was
+    released and the release message was lost.
     """
 
     pool_region: PoolRegion
@@ -297,7 +297,7 @@
 
 
 class Answer(NamedTuple):
-    """Effect: answer the request that waits for `ticket`."""
+    """Effect: answer the request that `ticket` identifies."""
 
     ticket: int
     result: Grant | Refused
--- a/hyssopfold/core/balancing/node.py
+++ b/hyssopfold/core/balancing/node.py
@@ -136,7 +136,7 @@
         self._pools = {pool.name: pool for pool in pools}
 
     def handle(self, event: Event, now: float) -> list[messages.Effect]:
-        """Return the effects of an event; messages to itself are delivered."""
+        """Return the effects of an event; handle messages to itself at once."""
         effects = _handle(event, self, now)
         outgoing: list[messages.Effect] = []
         while effects:
@@ -255,7 +255,7 @@
         own_grantor.refresh(pool, now)
         own_grantor.me = self._cfg.me
         own_grantor.expire_holders(now)
-        self._release_ended(own_grantor)
+        self._free_ended_incarnations(own_grantor)
         self._propose(pool_region, state, own_grantor, now)
         own_grantor.own_limit = state.election.effective_own_limit
         return (
@@ -310,7 +310,7 @@
         )
         return [messages.LogDecision("grantor-elected", fields)]
 
-    def _release_ended(self, own_grantor: grantor.Grantor) -> None:
+    def _free_ended_incarnations(self, own_grantor: grantor.Grantor) -> None:
         for member in own_grantor.ledger.holders():
             record = self._directory.instances.get(member.name)
             if record is not None:
--- a/hyssopfold/core/balancing/server_stats.py
+++ b/hyssopfold/core/balancing/server_stats.py
@@ -24,8 +24,8 @@
 SILENT_AFTER_GOALS = 2.0
 # Latency goal of routes without one in their row of the table.
 DEFAULT_GOAL_S = 0.5
-# Ejection of a server whose address belongs to another server now; its lease
-# ends within this time.
+# Ejection of a server whose address belongs to another server now; the lease of
+# its announcement ends within this time.
 ADDRESS_TAKEN_EJECTION_S = 4.0
 # Ejection of a server that refused a request for lack of capacity: about
 # the time in which one of its requests ends.
--- a/hyssopfold/core/balancing/voter.py
+++ b/hyssopfold/core/balancing/voter.py
@@ -123,7 +123,8 @@
         if claim.term == state.term and not same_candidate:
             return False
         if state.until > now and not same_candidate:
-            # Two grantors at the same time would grant the same slot twice.
+            # Another candidate's lease is valid: there must not be two grantors
+            # at the same time, which could grant the same slot twice.
             return False
         if claim.version and claim.members is None:
             accepted = (state.accepted_term, state.accepted_version)
--- a/hyssopfold/core/draining/__init__.py
+++ b/hyssopfold/core/draining/__init__.py
@@ -1,1 +1,1 @@
-"""Planned stops of servers and entries."""
+"""Planned stops of entries."""
--- a/hyssopfold/core/draining/stop.py
+++ b/hyssopfold/core/draining/stop.py
@@ -75,7 +75,7 @@
         """Update and return the phase.
 
         Args:
-            observed: What is open.
+            observed: Open connections and requests under way.
             now: Monotonic time in seconds.
         """
         if self.phase is Phase.LEAVING and now >= self._began_at + self._wait_s:
