--- a/tests/core/attempts/attempt.feature
+++ b/tests/core/attempts/attempt.feature
@@ -4,6 +4,9 @@
   as not run, only if it is certain that it did not run.
 
   Scenario Outline: an attempt that was <sent>, repeatable <repeatable>
+    A crossed answer belongs to another request. The end of an unframed answer
+    can't be told from a premature close.
+
     When an attempt that was <sent> is lost, repeatable <repeatable>
     Then the attempts' next step is <step>
 
--- a/tests/core/attempts/budget.feature
+++ b/tests/core/attempts/budget.feature
@@ -1,6 +1,6 @@
 Feature: retries are limited to a share of the requests
-  Servers that fail all requests would get every request twice, which keeps them
-  failing. The retries of all entries together are limited to a share of the
+  Servers that fail all requests would get every request up to three times,
+  which keeps them failing. The retries of all entries together are limited to a share of the
   requests.
 
   Scenario: an entry with few requests retries a cluster of failures
--- a/tests/core/balancing/load_reports.feature
+++ b/tests/core/balancing/load_reports.feature
@@ -3,7 +3,7 @@
   against an entry that assumes from its own answers that an object's first
   server is idle while dozens of other entries fill the queue of that server.
 
-  Scenario: a server that another entry reports as busy gives way to the second
+  Scenario: a request avoids a server that another entry reports as busy
     Given an entry that has used 4 servers of 5 slots
     When another entry reports 12 requests at the first server of "role"
     Then a request for "role" goes to its second server
@@ -32,10 +32,10 @@
     When the first server of "role" then answers with a load of 9 requests
     Then the entry reports once a load of 9 requests
 
-  Scenario: an entry's messages don't grow with the size of the failure domain
+  Scenario: each entry exchanges reports with a fixed number of other entries
     Then of 22 entries each sends reports to 8 others, and receives theirs
 
-  Scenario: sixty entries in a burst while a failure domain is evacuated
+  Scenario: many entries in a burst while a failure domain is evacuated
     190 servers and 76 entries of 14 requests a second each, 1.7 times the
     callers for 5 s, and the servers of one failure domain out of service.
 
--- a/tests/core/balancing/local.feature
+++ b/tests/core/balancing/local.feature
@@ -9,7 +9,7 @@
     When 3 requests for object "book" are placed locally
     Then all requests went to the first server of "book"
 
-  Scenario: beyond that they queue there or go to the second server only
+  Scenario: with no free slot they queue there or go to the second server only
     Given 6 local servers of 3 slots
     When 12 requests for object "book" are placed locally
     Then the requests went to exactly the first 2 servers of "book"
@@ -57,7 +57,7 @@
   Scenario: most objects, but not all, are served in their own region
     Guards against overloading a region that has two of twenty servers and a
     third of the callers: all of its objects would be three times the load that
-    its servers can bear.
+    its servers can sustain.
 
     Given local servers, 2 of region "dar" and 18 elsewhere
     Then an entry of "dar" places 0.2 to 0.5 of 400 objects in "dar"
@@ -70,14 +70,14 @@
 
   Scenario: a server that refuses connections is ejected, then treated as cold
     Given 6 local servers of 3 slots
-    And the pool's cold servers bear 4 requests a second
+    And the pool's cold servers sustain 4 requests a second
     And the first server of "book" refused a connection
     When 1 requests for object "book" are placed locally
     Then all requests went to the second server of "book"
     When 1.5 s pass for the local entry
     Then the first server of "book" gets at most 5 requests in a second
 
-  Scenario: a server that falls silent gets no more until it answers
+  Scenario: a server that falls silent gets no requests until its last one ends
     Guards against losing every second request for an object at a server that
     died without closing its connections: requests on them hang until their
     time-out.
@@ -101,7 +101,7 @@
     together must stay below the rate at which a cold server crashes, also right
     after the entries restart.
 
-    Given <entries> local entries and a cold server bearing 10 requests a second
+    Given <entries> local entries and a cold server with a cold rate of 10 a second
     When all entries place as many requests as they can for 3 s
     Then the cold server got at most 15 requests in any second
     And in 3 s the cold server got at least 10 requests
@@ -114,7 +114,7 @@
       | 80      |
 
   Scenario: entries that are cut off from the others do not flood a cold server
-    Given 8 local entries and a cold server bearing 10 requests a second
+    Given 8 local entries and a cold server with a cold rate of 10 a second
     And the 2 entries that rank last for it know no other entry
     When all entries place as many requests as they can for 3 s
     Then the cold server got at most 20 requests in any second
@@ -180,7 +180,7 @@
     does not have the object cached.
 
     Given 6 local servers of 3 slots
-    And the pool's cold servers bear 9.9 requests a second
+    And the pool's cold servers sustain 9.9 requests a second
     And the first server of "book" announces that it is cold
     When 1 requests for object "leaf" are placed locally
     And 1 s pass for the local entry
--- a/tests/core/balancing/node.feature
+++ b/tests/core/balancing/node.feature
@@ -19,9 +19,10 @@
     Then a new request is refused within 0.1 s with a retry-after
 
   Scenario: the grantor dies with slots in use
-    Its requests end with its process, but its machine may only be cut off from
-    the network. It never used more than one slot of each server itself. These
-    are withheld until it reports again, and all other slots are granted.
+    The other entries can't tell a grantor whose process ended from one that is
+    only cut off from the network and still runs requests. It never used more
+    than one slot of each server itself. These slots are withheld until it
+    reports again, and all other slots are granted.
     Given placement of 4 entries over 12 servers
     When every entry requests 8 slots
     And the grantor dies
@@ -105,19 +106,20 @@
     Then server "s0" has no slot in use
 
   Scenario: another attempt never gets the server that was tried
-    A server dies during a request, and the only free slot is its own. The
-    request was granted the same server again, which violates an invariant of
-    its attempts, and the caller got a bare 500. The request must wait for
-    another server or be refused.
+    Guards against granting a request the same server again, when this server
+    dies during the request and its slot is the only free one. That violates an
+    invariant of the request's attempts, and the caller gets a bare 500. The
+    request must wait for another server or be refused.
     Given placement of 2 entries over 1 servers
     When an entry requests a slot of any server but "s0"
     Then that request is refused, and another request still gets "s0"
 
   Scenario: a server leaves between two ticks of the grantor
     The grantor learns that a server leaves, and requests a slot itself before
-    it has updated its list of servers. It granted itself a slot of that
-    server, released it because the server is leaving, and requested again in
-    an endless loop: the entry hung and cut every request that it relayed.
+    it has updated its list of servers. Guards against an endless loop: it
+    grants itself a slot of that server, releases it because the server is
+    leaving, and requests again. The entry hangs and cuts every request that it
+    relays.
     Given placement of 1 entries over 1 servers
     When the grantor learns that server "s0" leaves and requests a slot at once
     Then the grantor's request is refused or waits
--- a/tests/core/balancing/reopened.feature
+++ b/tests/core/balancing/reopened.feature
@@ -4,7 +4,7 @@
   and cold servers crash under the usual load.
 
   Background:
-    Given servers "a" and "b" of domain "d1" that stay cold for 3 s, all warm
+    Given warm servers "a" and "b" of domain "d1" with a warm-up time of 3 s
 
   Scenario: they are treated as cold for the warm-up time of the pool
     When "d1" is evacuated at 10 s and is reopened at 20 s
--- a/tests/core/orders/orders.feature
+++ b/tests/core/orders/orders.feature
@@ -4,15 +4,15 @@
   domain that was evacuated must stay evacuated through any edit of the tables.
 
   Scenario: the second of two edits based on one version is refused
-    Given ordered tables at version 5
-    When an order puts version 7 on base 5 with route "ana"
-    And an order puts version 7 on base 5 with route "bea"
+    Given replicated tables at version 5
+    When an order sets version 7 based on 5 with route "ana"
+    And an order sets version 7 based on 5 with route "bea"
     Then the last order is refused as a conflict with version 7
     And the route in force is "ana"
 
   Scenario Outline: a version that is not above the one in force is invalid
-    Given ordered tables at version 5
-    When an order puts version <version> on base 5 with route "ana"
+    Given replicated tables at version 5
+    When an order sets version <version> based on 5 with route "ana"
     Then the last order is refused as invalid
 
     Examples:
@@ -21,9 +21,9 @@
       | 4       |
 
   Scenario: an evacuation persists through edits and ends only by its own order
-    Given ordered tables at version 5
+    Given replicated tables at version 5
     When an order evacuates "dar-1"
-    And an order puts version 6 on base 5 with route "ana"
+    And an order sets version 6 based on 5 with route "ana"
     Then "dar-1" is evacuated in the state
     When an order evacuates "dar-1"
     And an order ends the evacuation of "dar-1"
--- a/tests/steps/core/admission/queue_steps.py
+++ b/tests/steps/core/admission/queue_steps.py
@@ -36,10 +36,10 @@
     context.now += seconds
 
 
-@then('the queue serves "{one}", "{two}", "{three}"')
-def _(context, one, two, three):
+@then('the queue serves "{first}", "{second}", "{third}"')
+def _(context, first, second, third):
     served = [context.queue.pop() for _ in range(3)]
-    assert served == [one, two, three], served
+    assert served == [first, second, third], served
     assert context.queue.pop() is None
 
 
--- a/tests/steps/core/attempts/budget_steps.py
+++ b/tests/steps/core/attempts/budget_steps.py
@@ -45,11 +45,11 @@
         rng = random.Random(seed)
         reserve = 82 / entries
         budgets = [budget.RetryBudget(0.1, reserve) for _ in range(entries)]
-        requests, retries = _play(rng, budgets)
+        requests, retries = _simulate(rng, budgets)
         _check(requests, retries, reserve * entries, seed)
 
 
-def _play(rng, budgets):
+def _simulate(rng, budgets):
     """Return the requests and retries of each second."""
     requests, retries = [0] * _RUN_S, [0] * _RUN_S
     failing = 0.0
--- a/tests/steps/core/balancing/local_steps.py
+++ b/tests/steps/core/balancing/local_steps.py
@@ -59,7 +59,7 @@
     context.local_answers = []
 
 
-@given("the pool's cold servers bear {rate:g} requests a second")
+@given("the pool's cold servers sustain {rate:g} requests a second")
 def _(context, rate):
     context.local_cold_rate = rate
 
@@ -216,7 +216,7 @@
 
 
 @given(
-    "{count:d} local entries and a cold server bearing {rate:g} requests a"
+    "{count:d} local entries and a cold server with a cold rate of {rate:g} a"
     " second"
 )
 def _(context, count, rate):
--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -166,7 +166,9 @@
     (context.old_grantor,) = world.grantors()
     world.freeze(context.old_grantor)
     world.run(seconds)
-    assert len(world.grantors()) == 2, "the frozen grantor has not noticed"
+    assert len(world.grantors()) == 2, (
+        "the frozen grantor is not beside its successor"
+    )
 
 
 @when("the old grantor resumes, and requests and grants slots")
@@ -335,7 +337,7 @@
 def _(context, name):
     used = context.world.in_use()
     assert used[name] == 0, used
-    assert sum(used.values()) > 0, "the other servers are still used"
+    assert sum(used.values()) > 0, "no other server is used either"
 
 
 _ENTRIES = ("e0", "e1", "e2", "f0")
--- a/tests/steps/core/balancing/reopened_steps.py
+++ b/tests/steps/core/balancing/reopened_steps.py
@@ -17,13 +17,13 @@
 
 
 @given(
-    'servers "{one}" and "{other}" of domain "{domain}" that stay cold for'
-    " {seconds:g} s, all warm"
+    'warm servers "{first}" and "{second}" of domain "{domain}" with a warm-up'
+    " time of {seconds:g} s"
 )
-def _(context, one, other, domain, seconds):
+def _(context, first, second, domain, seconds):
     context.directory = directory.Directory(1e9)
     context.domain, context.warm_up_s = domain, seconds
-    for name in (one, other):
+    for name in (first, second):
         context.directory.servers.update(name, _server(name, domain), 0.0)
     context.reopened = reopened.ReopenedDomains(context.directory)
 
--- a/tests/steps/core/balancing/soonest_steps.py
+++ b/tests/steps/core/balancing/soonest_steps.py
@@ -1,4 +1,4 @@
-"""Steps of soonest.feature."""
+"""Steps of core/balancing/soonest.feature."""
 
 from behave import given
 from behave import then
@@ -59,7 +59,7 @@
     chooser.record_done(grant.server.server_id, done, 3.0, _NOW)
 
 
-@given("{count:d} servers of {slots:d} slots for the soonest answer")
+@given("{count:d} servers of {slots:d} slots, compared by expected time")
 def _(context, count, slots):
     context.soonest_servers = [_server(n, slots) for n in range(count)]
     context.soonest_chooser = local.Chooser("e1", "dakar")
--- a/tests/steps/core/orders/orders_steps.py
+++ b/tests/steps/core/orders/orders_steps.py
@@ -21,18 +21,20 @@
 def _apply(context, order):
     context.order_error = None
     try:
-        context.ordered = orders.apply(order, context.ordered, 0.0)
+        context.replicated_state = orders.apply(
+            order, context.replicated_state, 0.0
+        )
     except errors.HyssopError as exc:
         context.order_error = exc
 
 
-@given("ordered tables at version {version:d}")
+@given("replicated tables at version {version:d}")
 def _(context, version):
     document = _document("first")
-    context.ordered = state.State(document.tables, version=version)
+    context.replicated_state = state.State(document.tables, version=version)
 
 
-@when('an order puts version {version:d} on base {base:d} with route "{name}"')
+@when('an order sets version {version:d} based on {base:d} with route "{name}"')
 def _(context, version, base, name):
     _apply(context, orders.Edit(base, version, lambda _: _document(name)))
 
@@ -60,14 +62,16 @@
 
 @then('the route in force is "{name}"')
 def _(context, name):
-    assert [route.name for route in context.ordered.tables.routes] == [name]
+    assert [route.name for route in context.replicated_state.tables.routes] == [
+        name
+    ]
 
 
 @then('"{domain}" is evacuated in the state')
 def _(context, domain):
-    assert context.ordered.evacuated == (domain,)
+    assert context.replicated_state.evacuated == (domain,)
 
 
 @then("nothing is evacuated in the state")
 def _(context):
-    assert context.ordered.evacuated == ()
+    assert context.replicated_state.evacuated == ()
--- a/tests/support/attempts_machine.py
+++ b/tests/support/attempts_machine.py
@@ -95,7 +95,7 @@
         runs=strategies.booleans(), then=strategies.sampled_from(range(9))
     )
     def send(self, runs, then):
-        """Send bytes; the server may run the request, and then does `then`."""
+        """Send bytes; the server may run the request. `then` is the result."""
         if not self.bytes_sent:
             self.bytes_sent = True
             self._handle(messages.BytesSent())
