--- a/hyssopfold/core/balancing/server_stats.py
+++ b/hyssopfold/core/balancing/server_stats.py
@@ -26,7 +26,7 @@
 DEFAULT_GOAL_S = 0.5
 # Ejection of a server whose address belongs to another server now; the lease of
 # its announcement ends within this time.
-ADDRESS_TAKEN_EJECTION_S = 4.0
+ADDRESS_REASSIGNED_EJECTION_S = 4.0
 # Ejection of a server that refused a request for lack of capacity: about
 # the time in which one of its requests ends.
 SHED_EJECTION_S = 0.1
@@ -212,7 +212,7 @@
     now: float,
 ) -> ServerStats:
     if done.address_reassigned:
-        return stats._replace(ejected_until=now + ADDRESS_TAKEN_EJECTION_S)
+        return stats._replace(ejected_until=now + ADDRESS_REASSIGNED_EJECTION_S)
     if done.kind == "shed":
         return stats._replace(ejected_until=now + SHED_EJECTION_S)
     if done.healthy:
