--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -347,17 +347,17 @@
         )
 
     def learn(
-        self, grant: messages.Grant, done: messages.AttemptResult, now: float
+        self, grant: messages.Grant, result: messages.AttemptResult, now: float
     ) -> None:
         """Update run times and object locations from a grant's answer.
 
         Args:
             grant: The grant of this entry.
-            done: How its request ended.
+            result: How its request ended.
             now: Monotonic time in seconds.
         """
         req, server = grant.req, grant.server
-        if req is None or done.kind != "answered" or not done.healthy:
+        if req is None or result.kind != "answered" or not result.healthy:
             return
         incarnation = (server.server_id, server.incarnation)
         if req.object_key:
@@ -367,14 +367,14 @@
             self._locations.record(req.object_key, incarnation, now)
         else:
             was_cached = True
-        had_queue = done.load is not None and done.load.waiting > 0
+        had_queue = result.load is not None and result.load.waiting > 0
         kind = estimates.RequestKind(req.route, server.region)
         self._estimates.observe(
             estimates.AnswerSample(
                 kind,
                 req.pool,
                 req.goal_s,
-                done.duration_s,
+                result.duration_s,
                 was_cached,
                 had_queue,
             )
@@ -383,7 +383,7 @@
     def record_done(
         self,
         server_id: str,
-        done: messages.AttemptResult,
+        result: messages.AttemptResult,
         warm_up_s: float,
         now: float,
     ) -> None:
@@ -391,14 +391,14 @@
 
         Args:
             server_id: The server that it was sent to.
-            done: How it ended.
+            result: How it ended.
             warm_up_s: Seconds for which a server of the pool stays cold.
             now: Monotonic time in seconds.
         """
-        self._server_stats.record_done(server_id, done, warm_up_s, now)
+        self._server_stats.record_done(server_id, result, warm_up_s, now)
         key = self._server_stats.key_of(server_id)
-        if done.load is not None and key is not None:
-            self._load_reports.record_answer(key, done.load)
+        if result.load is not None and key is not None:
+            self._load_reports.record_answer(key, result.load)
 
     def silent_keys(self, now: float) -> tuple[int, ...]:
         """Return the incarnation keys of silent servers, to be sent to others.
--- a/hyssopfold/core/balancing/server_stats.py
+++ b/hyssopfold/core/balancing/server_stats.py
@@ -131,7 +131,7 @@
     def record_done(
         self,
         server_id: str,
-        done: messages.AttemptResult,
+        result: messages.AttemptResult,
         warm_up_s: float,
         now: float,
     ) -> None:
@@ -139,7 +139,7 @@
 
         Args:
             server_id: The server that it was sent to.
-            done: How it ended.
+            result: How it ended.
             warm_up_s: Seconds for which a restarted server stays cold.
             now: Monotonic time in seconds.
         """
@@ -147,16 +147,18 @@
         if stats is None:
             return
         stats = stats._replace(in_flight=max(0, stats.in_flight - 1))
-        if done.kind in ("answered", "shed"):
+        if result.kind in ("answered", "shed"):
             stats = stats._replace(waiting_since=now)
-        if done.load is not None:
+        if result.load is not None:
             stats = stats._replace(
-                reported_requests=float(done.load.running + done.load.waiting),
+                reported_requests=float(
+                    result.load.running + result.load.waiting
+                ),
                 reported_at=now,
                 in_flight_at_report=stats.in_flight,
             )
-        if done.kind != "cancelled":
-            stats = _update_health(stats, done, warm_up_s, now)
+        if result.kind != "cancelled":
+            stats = _update_health(stats, result, warm_up_s, now)
         self._stats[server_id] = stats
 
     def key_of(self, server_id: str) -> int | None:
@@ -207,24 +209,24 @@
 
 def _update_health(
     stats: ServerStats,
-    done: messages.AttemptResult,
+    result: messages.AttemptResult,
     warm_up_s: float,
     now: float,
 ) -> ServerStats:
-    if done.address_reassigned:
+    if result.address_reassigned:
         return stats._replace(ejected_until=now + ADDRESS_REASSIGNED_EJECTION_S)
-    if done.kind == "shed":
+    if result.kind == "shed":
         return stats._replace(ejected_until=now + SHED_EJECTION_S)
-    if done.healthy:
+    if result.healthy:
         return stats._replace(failures=0, ejections=max(0, stats.ejections - 1))
     failures = stats.failures + 1
-    if done.connected and failures < EJECT_AFTER_FAILURES:
+    if result.connected and failures < EJECT_AFTER_FAILURES:
         return stats._replace(failures=failures)
     ejection_s = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2.0**stats.ejections)
     until = now + ejection_s
     # A server that refuses connections has terminated. It will be cold when it
     # restarts, and its announcement of that may arrive after its first request.
-    cold_until = until + warm_up_s if not done.connected else stats.cold_until
+    cold_until = until + warm_up_s if not result.connected else stats.cold_until
     return stats._replace(
         failures=0,
         ejections=stats.ejections + 1,
--- a/tests/steps/core/balancing/load_reports_steps.py
+++ b/tests/steps/core/balancing/load_reports_steps.py
@@ -54,9 +54,9 @@
     for server_id in server_ids:
         others = tuple(other for other in server_ids if other != server_id)
         grant = _choose(context, _request("any", others))
-        done = messages.AttemptResult("answered", 0.3)
+        result = messages.AttemptResult("answered", 0.3)
         context.chooser.record_done(
-            grant.server.server_id, done, 3.0, context.now
+            grant.server.server_id, result, 3.0, context.now
         )
 
 
@@ -94,8 +94,8 @@
     grant = _choose(context, _request(key, order[1:]))
     slots = grant.server.slots
     load = messages.Load(min(requests, slots), max(0, requests - slots), slots)
-    done = messages.AttemptResult("answered", 0.3, load=load)
-    context.chooser.record_done(order[0], done, 3.0, context.now)
+    result = messages.AttemptResult("answered", 0.3, load=load)
+    context.chooser.record_done(order[0], result, 3.0, context.now)
 
 
 @then('a request for "{key}" goes to its {place} server')
--- a/tests/steps/core/balancing/local_steps.py
+++ b/tests/steps/core/balancing/local_steps.py
@@ -75,12 +75,12 @@
     )
 
 
-def _end_at_first(context, key, done):
-    """Send a request to the object's first server and end it with `done`."""
+def _end_at_first(context, key, result):
+    """Send a request to the object's first server and end it with `result`."""
     chooser = context.local_chooser
     grant = chooser.choose(_request(key), _view(context))
     assert grant.server.server_id == _order(context, key)[0]
-    chooser.record_done(grant.server.server_id, done, 3.0, context.local_now)
+    chooser.record_done(grant.server.server_id, result, 3.0, context.local_now)
 
 
 @given(
@@ -88,8 +88,8 @@
 )
 def _(context, key, load):
     reported = messages.Load(3, load - 3, 3)
-    done = messages.AttemptResult("answered", 0.1, load=reported)
-    _end_at_first(context, key, done)
+    result = messages.AttemptResult("answered", 0.1, load=reported)
+    _end_at_first(context, key, result)
 
 
 @given('the first {count:d} servers of "{key}" have it cached')
@@ -100,15 +100,17 @@
         others = tuple(other for other in order if other != server_id)
         req = _request(key)._replace(avoid=others)
         grant = chooser.choose(req, _view(context))
-        done = messages.AttemptResult("answered", 0.1)
-        chooser.learn(grant, done, now)
-        chooser.record_done(grant.server.server_id, done, 3.0, now)
+        result = messages.AttemptResult("answered", 0.1)
+        chooser.learn(grant, result, now)
+        chooser.record_done(grant.server.server_id, result, 3.0, now)
 
 
 @given('the first server of "{key}" refused a connection')
 def _(context, key):
-    done = messages.AttemptResult("failed", 0.1, connected=False, healthy=False)
-    _end_at_first(context, key, done)
+    result = messages.AttemptResult(
+        "failed", 0.1, connected=False, healthy=False
+    )
+    _end_at_first(context, key, result)
 
 
 @when('{count:d} requests for object "{key}" are placed locally')
@@ -146,10 +148,10 @@
         req = _request(f"object {number % keys}", regions)
         grant = context.local_chooser.choose(req, _view(context))
         context.local_answers.append(grant)
-        done = messages.AttemptResult("answered", 0.1)
+        result = messages.AttemptResult("answered", 0.1)
         server_id = grant.server.server_id
         context.local_chooser.record_done(
-            server_id, done, 3.0, context.local_now
+            server_id, result, 3.0, context.local_now
         )
 
 
@@ -210,8 +212,8 @@
         grant = chooser.choose(_request(key), _view(context))
         server_id = grant.server.server_id
         received += server_id == _order(context, key)[0]
-        done = messages.AttemptResult("answered", 0.01)
-        chooser.record_done(server_id, done, 3.0, context.local_now)
+        result = messages.AttemptResult("answered", 0.01)
+        chooser.record_done(server_id, result, 3.0, context.local_now)
     assert 1 <= received <= most, received
 
 
@@ -250,8 +252,8 @@
                 answer = chooser.choose(_request("book"), view)
                 if isinstance(answer, messages.Grant):
                     context.local_sent.append(context.local_now)
-                    done = messages.AttemptResult("answered", 0.0)
-                    chooser.record_done("s1", done, 3.0, context.local_now)
+                    result = messages.AttemptResult("answered", 0.0)
+                    chooser.record_done("s1", result, 3.0, context.local_now)
 
 
 @then("the cold server got at most {most:d} requests in any second")
@@ -329,17 +331,17 @@
 
 @when('the pending request to the first server of "{key}" fails')
 def _(context, key):
-    done = messages.AttemptResult("failed", 1.0, healthy=False)
+    result = messages.AttemptResult("failed", 1.0, healthy=False)
     first = _order(context, key)[0]
-    context.local_chooser.record_done(first, done, 3.0, context.local_now)
+    context.local_chooser.record_done(first, result, 3.0, context.local_now)
 
 
 @given('another server answered at the address of the first server of "{key}"')
 def _(context, key):
-    done = messages.AttemptResult(
+    result = messages.AttemptResult(
         "shed", 0.1, healthy=False, address_reassigned=True
     )
-    _end_at_first(context, key, done)
+    _end_at_first(context, key, result)
 
 
 def _other_entries(context, count):
@@ -352,9 +354,9 @@
 def _use_first(context, key):
     """Let this entry use the server once, so that it has statistics of it."""
     grant = context.local_chooser.choose(_request(key), _view(context))
-    done = messages.AttemptResult("answered", 0.1)
+    result = messages.AttemptResult("answered", 0.1)
     server_id = grant.server.server_id
-    context.local_chooser.record_done(server_id, done, 3.0, context.local_now)
+    context.local_chooser.record_done(server_id, result, 3.0, context.local_now)
 
 
 @given(
--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -224,8 +224,8 @@
 def _(context):
     entry, now = context.entry, context.world.now
     grant = entry.grants[context.ticket]
-    done = messages.AttemptResult("answered", 0.05)
-    assert entry.node.handle(node.Release(grant, done), now) == []
+    result = messages.AttemptResult("answered", 0.05)
+    assert entry.node.handle(node.Release(grant, result), now) == []
     newer = messages.Member("e9", 99)
     heartbeat = messages.GrantorHeartbeat(
         POOL_REGION, context.term, newer, False
--- a/tests/steps/core/balancing/soonest_steps.py
+++ b/tests/steps/core/balancing/soonest_steps.py
@@ -54,9 +54,9 @@
     """Place a request and record its answer after `took_s` seconds."""
     chooser = context.soonest_chooser
     grant = chooser.choose(req, _view(context))
-    done = messages.AttemptResult("answered", took_s, load=load)
-    chooser.learn(grant, done, _NOW)
-    chooser.record_done(grant.server.server_id, done, 3.0, _NOW)
+    result = messages.AttemptResult("answered", took_s, load=load)
+    chooser.learn(grant, result, _NOW)
+    chooser.record_done(grant.server.server_id, result, 3.0, _NOW)
 
 
 @given("{count:d} servers of {slots:d} slots, compared by expected time")
