--- a/hyssopfold/core/attempts/attempt.py
+++ b/hyssopfold/core/attempts/attempt.py
@@ -218,13 +218,13 @@
     def _is_worth_retry(self, status: int, now: float) -> bool:
         """Return whether to retry a request answered with an error.
 
-        A server whose health check passes may fail some of its requests, while
+        If so, the retry is taken from the budget. A server whose health check passes may fail some of its requests, while
         another one serves them. The error answer to a request that is not
         repeatable is relayed.
         """
         if status not in _SERVER_FAILURES or not self.request.repeatable:
             return False
-        return self._may_retry(now)
+        return self._take_retry(now)
 
     def answer_ended(self) -> Effects:
         """Finish: the complete answer was relayed to the caller."""
@@ -252,7 +252,7 @@
         self.last_reason = reason
         self.phase = Phase.ACQUIRING
         close = messages.CloseConnection()
-        if self._has_retry or self._may_retry(now):
+        if self._has_retry or self._take_retry(now):
             self._has_retry = False
             acquire = messages.Acquire(self.tried, self._deadline)
             return (close, acquire)
@@ -261,7 +261,8 @@
             error = "deadline-passed"
         return (close, *self._refuse(error, reason, RETRY_AFTER_S))
 
-    def _may_retry(self, now: float) -> bool:
+    def _take_retry(self, now: float) -> bool:
+        """Return whether a retry is allowed, and take it from the budget."""
         may_repeat = self.request.repeatable or not self.maybe_ran
         in_time = now < self._deadline
         max_attempts = self.request.max_attempts
--- a/hyssopfold/core/attempts/quarantine.py
+++ b/hyssopfold/core/attempts/quarantine.py
@@ -160,7 +160,7 @@
         crashed = record.crashed | {incarnation_key}
         cleared = (
             crashed
-            if self._is_answered_lately(fingerprint, now)
+            if self._was_answered_recently(fingerprint, now)
             else frozenset()
         )
         return self._store(
@@ -180,7 +180,7 @@
             del self._answered_at[next(iter(self._answered_at))]
         return self._clear(fingerprint)
 
-    def _is_answered_lately(self, fingerprint: bytes, now: float) -> bool:
+    def _was_answered_recently(self, fingerprint: bytes, now: float) -> bool:
         return (
             now - self._answered_at.get(fingerprint, -math.inf)
             < RECENT_ANSWER_S
@@ -241,7 +241,7 @@
         record = self._records.get(report.fingerprint, _EMPTY_RECORD)
         crashed = record.crashed | frozenset(report.crashed)
         cleared = record.cleared | frozenset(report.cleared)
-        if crashed != record.crashed and self._is_answered_lately(
+        if crashed != record.crashed and self._was_answered_recently(
             report.fingerprint, now
         ):
             cleared = crashed
--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -70,7 +70,7 @@
 
 
 class Refused(NamedTuple):
-    """No slot is available: the reason, and when to retry, in seconds."""
+    """No slot is available: the reason, and the seconds until a retry."""
 
     reason: str
     retry_after_s: float
--- a/hyssopfold/core/balancing/object_locations.py
+++ b/hyssopfold/core/balancing/object_locations.py
@@ -1,6 +1,6 @@
 """Which servers are likely to have an object cached.
 
-A server that handled an object lately takes a third of the time for it. When
+A server that handled an object recently takes a third of the time for it. When
 servers join, leave and return, the ranking tells which servers shall handle an
 object, but not which ones have it cached. This module derives that from the
 answers that this entry received.
