--- a/tests/core/attempts/budget.feature
+++ b/tests/core/attempts/budget.feature
@@ -1,7 +1,7 @@
 Feature: retries are limited to a share of the requests
   Servers that fail all requests would get every request up to three times,
-  which keeps them failing. The retries of all entries together are limited to a share of the
-  requests.
+  which keeps them failing. The retries of all entries together are limited to a
+  share of the requests.
 
   Scenario: an entry with few requests retries a cluster of failures
     At 6 requests a second for a pool, a server is full and refuses 5 requests
--- a/tests/core/balancing/soonest.feature
+++ b/tests/core/balancing/soonest.feature
@@ -1,5 +1,5 @@
 Feature: a request goes to the server with the shortest expected time to answer
-  Servers cache the objects that they handled lately and take a third of the
+  Servers cache the objects that they handled recently and take a third of the
   time for them. The wait in a queue depends on the queued requests: at a server
   with nine searches it is a tenth of a second, with nine status checks two.
 
--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -167,7 +167,7 @@
     world.freeze(context.old_grantor)
     world.run(seconds)
     assert len(world.grantors()) == 2, (
-        "the frozen grantor is not beside its successor"
+        "expected the frozen grantor and its successor"
     )
 
 
@@ -337,7 +337,7 @@
 def _(context, name):
     used = context.world.in_use()
     assert used[name] == 0, used
-    assert sum(used.values()) > 0, "no other server is used either"
+    assert sum(used.values()) > 0, "the other server is not used"
 
 
 _ENTRIES = ("e0", "e1", "e2", "f0")
--- a/tests/support/local_entries.py
+++ b/tests/support/local_entries.py
@@ -42,7 +42,7 @@
     Args:
         count: Number of entries.
         servers: Number of servers in each failure domain.
-        rate: Requests a second that a cold server bears.
+        rate: Requests a second that a cold server sustains.
 
     Attributes:
         sent: Monotonic times at which requests were placed, by server.
@@ -107,9 +107,9 @@
         for number in range(round(rate * seconds)):
             await trio.sleep(1 / rate)
             self._end_requests()
-            await self._place_one(self.entries[number % len(self.entries)])
+            await self._place_request(self.entries[number % len(self.entries)])
 
-    async def _place_one(self, entry):
+    async def _place_request(self, entry):
         current_state = entry.config.snapshot.state
         home_regions = (messages.Region("dar", False),)
         req = messages.Request(
