--- a/hyssopfold/core/attempts/attempt.py
+++ b/hyssopfold/core/attempts/attempt.py
@@ -218,9 +218,9 @@
     def _is_worth_retry(self, status: int, now: float) -> bool:
         """Return whether to retry a request answered with an error.
 
-        If so, the retry is taken from the budget. A server whose health check passes may fail some of its requests, while
-        another one serves them. The error answer to a request that is not
-        repeatable is relayed.
+        If so, the retry is taken from the budget. A server whose health check
+        passes may fail some of its requests, while another one serves them. The
+        error answer to a request that is not repeatable is relayed.
         """
         if status not in _SERVER_FAILURES or not self.request.repeatable:
             return False
--- a/hyssopfold/core/balancing/local.py
+++ b/hyssopfold/core/balancing/local.py
@@ -231,9 +231,9 @@
 
         The server that ranks first is assumed to have the object cached: other
         entries may have sent requests for it there, and if not, this server is
-        to cache it now. If an object stayed at the servers that answered for it last, it
-        would be cached at as many servers as there are entries, and evict other
-        objects there.
+        to cache it now. If an object stayed at the servers that answered for it
+        last, it would be cached at as many servers as there are entries, and
+        evict other objects there.
         """
         cached = [
             self._locations.is_cached(
--- a/hyssopfold/core/balancing/silence_reports.py
+++ b/hyssopfold/core/balancing/silence_reports.py
@@ -36,7 +36,7 @@
         return not was_confirmed and self.is_confirmed(server_id, now)
 
     def is_confirmed(self, server_id: str, now: float) -> bool:
-        """Return whether enough entries recently reported a server as silent."""
+        """Return whether enough valid reports say that a server is silent."""
         reports = self._until.get(server_id)
         if not reports:
             return False
--- a/tests/core/balancing/local.feature
+++ b/tests/core/balancing/local.feature
@@ -101,7 +101,7 @@
     together must stay below the rate at which a cold server crashes, also right
     after the entries restart.
 
-    Given <entries> local entries and a cold server with a cold rate of 10 a second
+    Given <entries> local entries and a cold server with cold_rate 10
     When all entries place as many requests as they can for 3 s
     Then the cold server got at most 15 requests in any second
     And in 3 s the cold server got at least 10 requests
@@ -114,7 +114,7 @@
       | 80      |
 
   Scenario: entries that are cut off from the others do not flood a cold server
-    Given 8 local entries and a cold server with a cold rate of 10 a second
+    Given 8 local entries and a cold server with cold_rate 10
     And the 2 entries that rank last for it know no other entry
     When all entries place as many requests as they can for 3 s
     Then the cold server got at most 20 requests in any second
--- a/tests/steps/core/balancing/local_steps.py
+++ b/tests/steps/core/balancing/local_steps.py
@@ -217,10 +217,7 @@
     assert 1 <= received <= most, received
 
 
-@given(
-    "{count:d} local entries and a cold server with a cold rate of {rate:g} a"
-    " second"
-)
+@given("{count:d} local entries and a cold server with cold_rate {rate:g}")
 def _(context, count, rate):
     context.local_cold_rate = rate
     context.local_cold = set()
