--- a/hyssopfold/core/attempts/quarantine.py
+++ b/hyssopfold/core/attempts/quarantine.py
@@ -37,7 +37,7 @@
 # Cleared crashes of a request, after which no more of its crashes are recorded.
 MAX_CLEARED = 8
 MAX_RECORDS = 2_000
-# Digest in a message that contains none.
+# Value of `digest` in a message without a digest.
 NO_DIGEST = -1
 # The first bytes of a fingerprint, which depend on the request's head alone.
 HEAD_BYTES = 8
--- a/hyssopfold/core/balancing/allowance.py
+++ b/hyssopfold/core/balancing/allowance.py
@@ -16,7 +16,7 @@
 # Entries that may send to one cold server. With two, one may fail, and their
 # token buckets add at most two requests to the rate in any second.
 SENDERS = 2
-# Factor by which the rate is reduced. The rest allows for jitter of clocks and
+# Share of the rate that is used. The rest allows for jitter of clocks and
 # links, which can move the requests of one second into the next.
 RATE_FACTOR = 0.8
 
@@ -38,7 +38,7 @@
     def __init__(self, name: str) -> None:
         self._name = name
         self._buckets: dict[str, _Bucket] = {}
-        # The entries that may send to each server, cached for `_entries`.
+        # The entries that may send to each server, valid for `_entries`.
         self._senders: dict[str, tuple[str, ...]] = {}
         self._entries: Collection[str] = ()
 
--- a/hyssopfold/core/balancing/drains.py
+++ b/hyssopfold/core/balancing/drains.py
@@ -8,7 +8,7 @@
     """Return whether the tables drain this server.
 
     Drains of regions and failure domains are shifts of traffic (see
-    `hyssopfold.core.steering`): they take effect through the `messages.Region`s
-    of a request.
+    `hyssopfold.core.steering`): they take effect through the regions of a
+    request (`hyssopfold.core.balancing.messages.Region`).
     """
     return server.server_id in pool.drains.servers
--- a/hyssopfold/core/balancing/election.py
+++ b/hyssopfold/core/balancing/election.py
@@ -11,8 +11,8 @@
 RENEW_INTERVAL_S = 0.3
 # How long a candidate waits for members' reports before it proceeds.
 GATHER_TIMEOUT_S = 0.2
-# Rounds without a majority of control after which a candidate proceeds as a
-# standalone grantor.
+# Consecutive rounds with neither a majority of control nor a refusal, after
+# which a candidate proceeds as a standalone grantor.
 STANDALONE_AFTER_ROUNDS = 3
 # Stands for members that a candidate without control cannot know.
 UNKNOWN_MEMBER = messages.Member("", 0)
--- a/tests/core/balancing/load_reports.feature
+++ b/tests/core/balancing/load_reports.feature
@@ -37,7 +37,7 @@
 
   Scenario: many entries in a burst while a failure domain is evacuated
     190 servers and 76 entries of 14 requests a second each, 1.7 times the
-    callers for 5 s, and the servers of one failure domain out of service.
+    usual callers for 5 s, and the servers of one failure domain out of service.
 
     When the burst is emulated with and without load reports
     Then with load reports at least a fifth fewer answers are late
