--- a/hyssopfold/core/attempts/attempt.py
+++ b/hyssopfold/core/attempts/attempt.py
@@ -41,8 +41,8 @@
 class Attempts:
     """State machine of the attempts of one request.
 
-    The `AttemptExecutor` of an entry passes each event to `handle` and executes
-    the returned effects in order. The machine asserts its guarantees: a request
+    The entry passes each event to `handle` and executes the returned effects in
+    order. The machine asserts its guarantees: a request
     that is not repeatable is sent again only if it is certain that no earlier
     attempt ran, and the outcome `not-run` is reported only if that holds for
     all attempts.
@@ -165,7 +165,7 @@
     def body_began(self) -> Effects:
         """Suspend the deadline of the answer while the body is uploaded.
 
-        Unless it is absolute.
+        The deadline stays if the limit is a total limit.
         """
         self.expect(Phase.SENDING)
         self._uploading = True
@@ -218,13 +218,13 @@
     def _is_worth_retry(self, status: int, now: float) -> bool:
         """Return whether to retry a request answered with an error.
 
-        A server whose health check passes may fail some of its requests, while
-        another one serves them. The error answer to a request that is not
-        repeatable is relayed.
+        If so, the retry is taken from the budget. A server whose health check
+        passes may fail some of its requests, while another one serves them. The
+        error answer to a request that is not repeatable is relayed.
         """
         if status not in _SERVER_FAILURES or not self.request.repeatable:
             return False
-        return self._may_retry(now)
+        return self._take_retry(now)
 
     def answer_ended(self) -> Effects:
         """Finish: the complete answer was relayed to the caller."""
@@ -252,7 +252,7 @@
         self.last_reason = reason
         self.phase = Phase.ACQUIRING
         close = messages.CloseConnection()
-        if self._has_retry or self._may_retry(now):
+        if self._has_retry or self._take_retry(now):
             self._has_retry = False
             acquire = messages.Acquire(self.tried, self._deadline)
             return (close, acquire)
@@ -261,7 +261,8 @@
             error = "deadline-passed"
         return (close, *self._refuse(error, reason, RETRY_AFTER_S))
 
-    def _may_retry(self, now: float) -> bool:
+    def _take_retry(self, now: float) -> bool:
+        """Return whether a retry is allowed, and take it from the budget."""
         may_repeat = self.request.repeatable or not self.maybe_ran
         in_time = now < self._deadline
         max_attempts = self.request.max_attempts
--- a/tests/steps/core/balancing/node_steps.py
+++ b/tests/steps/core/balancing/node_steps.py
@@ -166,7 +166,9 @@
     (context.old_grantor,) = world.grantors()
     world.freeze(context.old_grantor)
     world.run(seconds)
-    assert len(world.grantors()) == 2, "the frozen grantor has not noticed"
+    assert len(world.grantors()) == 2, (
+        "expected the frozen grantor and its successor"
+    )
 
 
 @when("the old grantor resumes, and requests and grants slots")
@@ -222,8 +224,8 @@
 def _(context):
     entry, now = context.entry, context.world.now
     grant = entry.grants[context.ticket]
-    done = messages.AttemptResult("answered", 0.05)
-    assert entry.node.handle(node.Release(grant, done), now) == []
+    result = messages.AttemptResult("answered", 0.05)
+    assert entry.node.handle(node.Release(grant, result), now) == []
     newer = messages.Member("e9", 99)
     heartbeat = messages.GrantorHeartbeat(
         POOL_REGION, context.term, newer, False
@@ -335,7 +337,7 @@
 def _(context, name):
     used = context.world.in_use()
     assert used[name] == 0, used
-    assert sum(used.values()) > 0, "the other servers are still used"
+    assert sum(used.values()) > 0, "the other server is not used"
 
 
 _ENTRIES = ("e0", "e1", "e2", "f0")
