--- a/tests/steps/platform/wire_steps.py
+++ b/tests/steps/platform/wire_steps.py
@@ -17,7 +17,7 @@
 from hyssopfold import state
 
 REGIONS = {"dar-1": "dar", "mwanza-1": "mwanza"}
-BEAT = {
+HEARTBEAT = {
     "service": "ledger",
     "addr": "10.1.0.9:8080",
     "zone": "dar-1",
@@ -93,45 +93,47 @@
 """
 
 
-def _server(beat):
-    body = json.dumps(beat).encode()
-    return announcements.check(wire.server("i-1", body, REGIONS))
+def _parse_server(heartbeat):
+    body = json.dumps(heartbeat).encode()
+    return announcements.check(wire.parse_heartbeat("i-1", body, REGIONS))
 
 
 @given("a platform heartbeat")
 def _(context):
-    context.beat = BEAT
+    context.heartbeat = HEARTBEAT
 
 
 @given('a platform heartbeat in which "{field}" is {value}')
 def _(context, field, value):
-    context.beat = {**BEAT, field: json.loads(value)}
+    context.heartbeat = {**HEARTBEAT, field: json.loads(value)}
 
 
 @given('a platform heartbeat without "{field}"')
 def _(context, field):
-    context.beat = {key: BEAT[key] for key in BEAT if key != field}
+    context.heartbeat = {
+        key: HEARTBEAT[key] for key in HEARTBEAT if key != field
+    }
 
 
 @then("it announces a server with its own start, count and failure domain")
 def _(context):
-    server = _server(context.beat)
+    server = _parse_server(context.heartbeat)
     assert server.server_id == "i-1"
-    assert server.incarnation == BEAT["born"]
-    assert server.sequence == BEAT["sequence"]
+    assert server.incarnation == HEARTBEAT["born"]
+    assert server.sequence == HEARTBEAT["sequence"]
     assert (server.region, server.failure_domain) == ("dar", "dar-1")
-    assert server.cold_left_s == BEAT["cold_left_s"]
-    leaving = _server({**BEAT, "state": "draining"})
+    assert server.cold_left_s == HEARTBEAT["cold_left_s"]
+    leaving = _parse_server({**HEARTBEAT, "state": "draining"})
     assert leaving.state == "leaving"
 
 
 @then('the platform\'s body is refused for "{field}"')
 def _(context, field):
     try:
-        _server(context.beat)
+        _parse_server(context.heartbeat)
     except errors.InvalidDocumentError as exc:
-        told = str(exc).replace("address", "addr").replace("pool", "service")
-        assert field in told, told
+        message = str(exc).replace("address", "addr").replace("pool", "service")
+        assert field in message, message
     else:
         raise AssertionError("it was taken")
 
@@ -139,7 +141,7 @@
 @given('a platform configuration of version "{version}" on base "{base}"')
 def _(context, version, base):
     body = json.dumps({**CONFIG, "version": version}).encode()
-    context.platform_edit = wire.whole(body, base)
+    context.platform_edit = wire.parse_put(body, base)
     context.platform_document = context.platform_edit.build(())
 
 
@@ -162,9 +164,9 @@
 
 def _rendered(context, version):
     document = context.platform_document
-    held = state.State(document.tables, (), version, document.rows)
+    current = state.State(document.tables, (), version, document.rows)
     # What is kept is what is spread: it must survive the way there.
-    return json.loads(wire.render(state.decode(state.encode(held))))
+    return json.loads(wire.render(state.decode(state.encode(current))))
 
 
 @then("it is handed back as it was sent")
@@ -203,7 +205,7 @@
 @then("the platform's configuration is refused")
 def _(context):
     try:
-        wire.whole(context.platform_body, "00000005").build(())
+        wire.parse_put(context.platform_body, "00000005").build(())
     except errors.InvalidDocumentError:
         return
     raise AssertionError("it was taken")
@@ -217,7 +219,7 @@
         "upsert": {"routes": [route]},
         "remove": {"routes": [gone]},
     }
-    edit = wire.patch(json.dumps(patch).encode(), "00000007")
+    edit = wire.parse_patch(json.dumps(patch).encode(), "00000007")
     context.platform_document = edit.build(context.platform_document.rows)
 
 
@@ -226,7 +228,7 @@
     (route,) = context.platform_document.tables.routes
     assert (route.name, route.deadline_ms) == (changed, 500), route
     body = _rendered(context, 9)
-    assert [one["name"] for one in body["routes"]] == [changed]
+    assert [route["name"] for route in body["routes"]] == [changed]
     assert body["services"] == CONFIG["services"]
     assert body["limits"] == CONFIG["limits"]
 
