--- a/tests/platform/wire.feature
+++ b/tests/platform/wire.feature
@@ -1,12 +1,12 @@
-Feature: the platform's bodies, translated once
-  A server's word that can't be read must name no server, and an invalid
-  configuration must never be in force; neither may end a process.
+Feature: bodies of the platform's calls are decoded and converted
+  A malformed heartbeat must not add a server to the directory, an invalid
+  configuration must not come into force, and neither may end a process.
 
-  Scenario: a heartbeat becomes an announcement
+  Scenario: a heartbeat is converted to an announcement
     Given a platform heartbeat
     Then it announces a server with its own start, count and failure domain
 
-  Scenario Outline: a heartbeat that names no server
+  Scenario Outline: a heartbeat with an invalid field is refused
     Given a platform heartbeat in which "<field>" is <value>
     Then the platform's body is refused for "<field>"
 
@@ -19,8 +19,9 @@
       | addr     | "nowhere"   |
       | sequence | -1          |
 
-  Scenario Outline: a heartbeat without a field names no server
-    One that does not say whether its server is cold would make it warm.
+  Scenario Outline: a heartbeat with a missing field is refused
+    A default would be wrong: without cold_left_s a cold server would count as
+    warm.
 
     Given a platform heartbeat without "<field>"
     Then the platform's body is refused for "<field>"
@@ -31,38 +32,38 @@
       | version     |
       | sequence    |
 
-  Scenario: a configuration is read and handed back as it was sent
+  Scenario: a configuration is decoded and returned as it was sent
     Given a platform configuration of version "00000007" on base "00000005"
     Then it is an edit of version 7 on base 5
-    And its tables hold the timeouts, splits and kinds that were sent
-    And it is handed back as it was sent
+    And its tables have the timeouts, splits and kinds that were sent
+    And it is returned as it was sent
 
-  Scenario Outline: an invalid configuration
-    Given a platform configuration whose <what>
+  Scenario Outline: an invalid configuration is refused
+    Given a platform configuration whose <defect>
     Then the platform's configuration is refused
 
     Examples:
-      | what                                   |
-      | first route names an unknown service   |
-      | split weights add up to 0              |
-      | split holds a weight below 0           |
-      | first timeout is 0                     |
-      | first host is empty                    |
-      | first kind is unheard of               |
-      | text is cut short                      |
-      | first two routes match the same        |
-      | version is no number                   |
+      | defect                                  |
+      | first route names an unknown service    |
+      | split weights add up to 0               |
+      | split has a weight below 0              |
+      | first timeout is 0                      |
+      | first host is empty                     |
+      | first kind is unknown                   |
+      | text is truncated                       |
+      | first two routes match the same         |
+      | version is not a number                 |
 
-  Scenario: a patch changes named rows and leaves the others
+  Scenario: a patch changes the named rows and keeps the others
     Given a platform configuration of version "00000007" on base "00000005"
     When a platform patch replaces route "r-2" and removes route "r-1"
-    Then the patched document holds "r-2" changed and not "r-1"
+    Then the patched document contains "r-2" changed and not "r-1"
 
-  Scenario: settings become the product's own
+  Scenario: the platform's settings are translated
     Given a settings file of the platform
-    Then an entry finds its addresses, others and bounds in it
-    And a control instance forms only at the first start
+    Then an entry's settings have its addresses, seeds and bounds
+    And a control instance forms a cluster only at the first start
 
-  Scenario: a settings file that misses a field stops the start
+  Scenario: a settings file without a required field is refused
     Given a settings file of the platform without "ip"
     Then the platform's settings are refused, naming "ip"
--- a/tests/steps/platform/wire_steps.py
+++ b/tests/steps/platform/wire_steps.py
@@ -135,7 +135,7 @@
         message = str(exc).replace("address", "addr").replace("pool", "service")
         assert field in message, message
     else:
-        raise AssertionError("it was taken")
+        raise AssertionError("the heartbeat was accepted")
 
 
 @given('a platform configuration of version "{version}" on base "{base}"')
@@ -151,7 +151,7 @@
     assert (edit.version, edit.base) == (version, base)
 
 
-@then("its tables hold the timeouts, splits and kinds that were sent")
+@then("its tables have the timeouts, splits and kinds that were sent")
 def _(context):
     first, second = context.platform_document.tables.routes
     assert (first.deadline_ms, first.latency_goal_ms) == (1200, 300)
@@ -165,11 +165,11 @@
 def _rendered(context, version):
     document = context.platform_document
     current = state.State(document.tables, (), version, document.rows)
-    # What is kept is what is spread: it must survive the way there.
+    # Instances replicate the encoded state, so encoding must lose nothing.
     return json.loads(wire.render(state.decode(state.encode(current))))
 
 
-@then("it is handed back as it was sent")
+@then("it is returned as it was sent")
 def _(context):
     assert _rendered(context, 7) == CONFIG
 
@@ -178,27 +178,27 @@
     "first route names an unknown service": ("service", "nobody"),
     "first timeout is 0": ("timeout_s", 0),
     "first host is empty": ("host", ""),
-    "first kind is unheard of": ("kind", "perhaps"),
+    "first kind is unknown": ("kind", "perhaps"),
 }
 
 
-@given("a platform configuration whose {what}")
-def _(context, what):
+@given("a platform configuration whose {defect}")
+def _(context, defect):
     config = copy.deepcopy(CONFIG)
     first, second = config["routes"]
-    if what in _BROKEN:
-        key, value = _BROKEN[what]
+    if defect in _BROKEN:
+        key, value = _BROKEN[defect]
         first[key] = value
-    elif what == "split weights add up to 0":
+    elif defect == "split weights add up to 0":
         second["split"] = [{**part, "weight": 0} for part in _SPLIT]
-    elif what == "split holds a weight below 0":
+    elif defect == "split has a weight below 0":
         second["split"][1]["weight"] = -1
-    elif what == "first two routes match the same":
+    elif defect == "first two routes match the same":
         second["path_prefix"] = first["path_prefix"]
-    elif what == "version is no number":
+    elif defect == "version is not a number":
         config["version"] = "seven"
     context.platform_body = json.dumps(config).encode()
-    if what == "text is cut short":
+    if defect == "text is truncated":
         context.platform_body = context.platform_body[:-20]
 
 
@@ -208,7 +208,7 @@
         wire.parse_put(context.platform_body, "00000005").build(())
     except errors.InvalidDocumentError:
         return
-    raise AssertionError("it was taken")
+    raise AssertionError("the configuration was accepted")
 
 
 @when('a platform patch replaces route "{changed}" and removes route "{gone}"')
@@ -223,7 +223,7 @@
     context.platform_document = edit.build(context.platform_document.rows)
 
 
-@then('the patched document holds "{changed}" changed and not "{gone}"')
+@then('the patched document contains "{changed}" changed and not "{gone}"')
 def _(context, changed, gone):
     (route,) = context.platform_document.tables.routes
     assert (route.name, route.deadline_ms) == (changed, 500), route
@@ -252,7 +252,7 @@
     _write(context, "\n".join(kept))
 
 
-@then("an entry finds its addresses, others and bounds in it")
+@then("an entry's settings have its addresses, seeds and bounds")
 def _(context):
     cfg = platform_settings.load_entry(str(context.boot))
     assert cfg.http_address == "10.1.0.35:8144"
@@ -262,11 +262,11 @@
     assert cfg.gossip_seeds == ("10.1.0.37:7660", "10.2.0.30:7660")
     assert cfg.stop_serve_s < cfg.stop_max_s < 6
     assert (cfg.retry_share, cfg.shared_retry_reserve) == (0.1, 28)
-    # One per cent of the 0.86 of a core that the machine has.
+    # The cost of the log lines is one per cent of the 0.86 cores.
     assert cfg.log_lines_per_s == 172
 
 
-@then("a control instance forms only at the first start")
+@then("a control instance forms a cluster only at the first start")
 def _(context):
     cfg = platform_settings.load_control(str(context.boot))
     assert not cfg.first_start
@@ -280,4 +280,4 @@
     except errors.InvalidDocumentError as exc:
         assert field in str(exc), exc
         return
-    raise AssertionError("they were taken")
+    raise AssertionError("the settings were accepted")
