--- a/tests/platform/wire.feature
+++ b/tests/platform/wire.feature
@@ -29,7 +29,7 @@
     Examples:
       | field       |
       | cold_left_s |
-      | version     |
+      | version    |
       | sequence    |
 
   Scenario: a configuration is decoded and returned as it was sent
@@ -43,16 +43,16 @@
     Then the platform's configuration is refused
 
     Examples:
-      | defect                                  |
-      | first route names an unknown service    |
-      | split weights add up to 0               |
-      | split has a weight below 0              |
-      | first timeout is 0                      |
-      | first host is empty                     |
-      | first kind is unknown                   |
-      | text is truncated                       |
-      | first two routes match the same         |
-      | version is not a number                 |
+      | defect                                 |
+      | first route names an unknown service   |
+      | split weights add up to 0              |
+      | split has a weight below 0             |
+      | first timeout is 0                     |
+      | first host is empty                    |
+      | first kind is unknown                  |
+      | text is truncated                      |
+      | first two routes match the same        |
+      | version is not a number                |
 
   Scenario: a patch changes the named rows and keeps the others
     Given a platform configuration of version "00000007" on base "00000005"
--- a/tests/steps/platform/wire_steps.py
+++ b/tests/steps/platform/wire_steps.py
@@ -228,7 +228,7 @@
     (route,) = context.platform_document.tables.routes
     assert (route.name, route.deadline_ms) == (changed, 500), route
     body = _rendered(context, 9)
-    assert [route["name"] for route in body["routes"]] == [changed]
+    assert [row["name"] for row in body["routes"]] == [changed]
     assert body["services"] == CONFIG["services"]
     assert body["limits"] == CONFIG["limits"]
 
