--- a/spec/slots_spec.py
+++ b/spec/slots_spec.py
@@ -1,9 +1,11 @@
-"""Slot leases across a takeover, checked exhaustively, with broken variants.
-
-One slot, two entries. X grants under term 1; Y takes over under term 2 at any
-moment. Every message may be lost, doubled or late: what was sent stays in the
-network and may arrive any number of times, or never. X may die at any moment
-and come back as a new life that counts its asks from 1 again.
+"""Model of slot leases when the grantor changes, checked exhaustively.
+
+There are one slot and two entries. X is the grantor of term 1; Y becomes the
+grantor of term 2 at any moment. A message may be lost, duplicated or delayed: once
+sent it stays in the network and may arrive any number of times, or never. X may
+crash at any moment and restart as a new incarnation that numbers its requests from
+1 again. The invariant must hold under the rules of the protocol; each variant,
+which lacks one rule, must violate it. Run as a script.
 """
 
 from collections.abc import Iterator
@@ -13,203 +15,251 @@
 import minicheck
 
 MAX_STATES = 400_000
-# A broken variant shows its fault long before all states are seen.
+# A variant violates the invariant long before all states are reached.
 MAX_STATES_BROKEN = 40_000
 
 
 class Rules(NamedTuple):
-    """Guards of the protocol; each is taken out in a broken variant."""
+    """Rules of the protocol; each variant lacks one of them."""
 
     refuse_old_terms: bool = True
     withhold_unreported: bool = True
-    check_life: bool = True
-    report_holds: bool = True
-    keep_open_asks: bool = True
-    release_to_promised: bool = True
+    check_incarnation: bool = True
+    report_held_slots: bool = True
+    keep_pending: bool = True
+    release_to_promised_grantor: bool = True
+
 
+class SlotRequest(NamedTuple):
+    """A request for the slot, which also identifies the slot once granted.
 
-class Name(NamedTuple):
-    """An ask, and the slot that it may become: numbers begin with a life."""
+    Numbers begin at 1 in each incarnation of the entry.
+    """
 
     entry: str
-    life: int
+    incarnation: int
     number: int
 
 
-NAMES = (Name("x", 1, 1), Name("x", 2, 1), Name("y", 1, 1), Name("y", 1, 2))
+SLOT_REQUESTS = (
+    SlotRequest("x", 1, 1),
+    SlotRequest("x", 2, 1),
+    SlotRequest("y", 1, 1),
+    SlotRequest("y", 1, 2),
+)
 
 
 class State(NamedTuple):
-    """All that matters of both entries and the network.
-
-    Names are unique and an ask once closed stays so: hence a release or a
-    sync that may arrive late, twice or never is the same as being allowed to
-    take it in at any time after the ask was closed. An ask that was sent may
-    arrive at any time; so may a grant once it is in `grants`.
+    """State of both entries and of the network.
+
+    A slot request is unique, and stays closed once it is closed. A release or a
+    sync that may arrive late, twice or never is therefore modelled as a step
+    that the grantor may take at any time after the request was closed. A request
+    in `sent` may arrive at any time, and so may a grant in `grants`.
+
+    Attributes:
+        incarnation: The present incarnation of X.
+        promised_x: Highest term that X has promised or received.
+        promised_y: Highest term that Y has promised or received.
+        sent: Slot requests that were sent.
+        pending: Slot requests without a grant.
+        held_slots: Slots in use by their holders.
+        grants: Grants that were sent, with their terms.
+        reports: Reports of X to Y: its incarnation and its slots in use.
+        x_grants: Whether X acts as grantor.
+        x_ledger: The slot request to which X has leased the slot.
+        y_grants: Whether Y acts as grantor.
+        y_ledger: The slot request to which Y has leased the slot.
+        x_unreported: Whether Y still lacks X's report.
     """
 
-    life: int = 1
+    incarnation: int = 1
     promised_x: int = 0
     promised_y: int = 0
-    asked: frozenset[Name] = frozenset()
-    open_asks: frozenset[Name] = frozenset()
-    holds: frozenset[Name] = frozenset()
-    grants: frozenset[tuple[int, Name]] = frozenset()
-    reports: frozenset[tuple[int, frozenset[Name]]] = frozenset()
+    sent: frozenset[SlotRequest] = frozenset()
+    pending: frozenset[SlotRequest] = frozenset()
+    held_slots: frozenset[SlotRequest] = frozenset()
+    grants: frozenset[tuple[int, SlotRequest]] = frozenset()
+    reports: frozenset[tuple[int, frozenset[SlotRequest]]] = frozenset()
     x_grants: bool = True
-    x_ledger: frozenset[Name] = frozenset()
+    x_ledger: frozenset[SlotRequest] = frozenset()
     y_grants: bool = False
-    y_ledger: frozenset[Name] = frozenset()
-    y_silent: bool = False
-    # Closed before their holder promised term 2, so that X may learn of it.
-    told_x: frozenset[Name] = frozenset()
-    # The slot was reported to Y, so it is Y's to grant on.
-    y_owns: bool = False
+    y_ledger: frozenset[SlotRequest] = frozenset()
+    x_unreported: bool = False
+    # Requests closed before their holder promised term 2; X may receive the
+    # release.
+    releases_to_x: frozenset[SlotRequest] = frozenset()
+    # The slot was reported to Y or granted by it, so Y may grant it again.
+    y_owns_slot: bool = False
 
 
 Step = tuple[str, State]
 
 
-def _is_live(state: State, name: Name) -> bool:
-    return name.entry == "y" or name.life == state.life
+def _is_live(state: State, request: SlotRequest) -> bool:
+    return request.entry == "y" or request.incarnation == state.incarnation
 
 
-def _asks(state: State) -> Iterator[Step]:
-    for name in NAMES:
-        first = name.number == 1 or name._replace(number=1) in state.asked
-        if name in state.asked or not _is_live(state, name) or not first:
+def _send_steps(state: State) -> Iterator[Step]:
+    for request in SLOT_REQUESTS:
+        is_next = (
+            request.number == 1 or request._replace(number=1) in state.sent
+        )
+        if request in state.sent or not _is_live(state, request) or not is_next:
             continue
         after = state._replace(
-            asked=state.asked | {name}, open_asks=state.open_asks | {name}
+            sent=state.sent | {request}, pending=state.pending | {request}
         )
-        yield f"{name} is asked", after
+        yield f"{request} is sent", after
 
 
-def _grants(state: State, rules: Rules) -> Iterator[Step]:
-    for name in state.asked:
+def _grant_steps(state: State, rules: Rules) -> Iterator[Step]:
+    for request in state.sent:
         if state.x_grants and not state.x_ledger:
             after = state._replace(
-                x_ledger=frozenset({name}),
-                grants=state.grants | {(1, name)},
+                x_ledger=frozenset({request}),
+                grants=state.grants | {(1, request)},
             )
-            yield f"x grants {name}", after
-        withheld = state.y_silent and rules.withhold_unreported
-        may = state.y_owns or not withheld
-        if state.y_grants and may and not state.y_ledger:
+            yield f"x grants {request}", after
+        withheld = state.x_unreported and rules.withhold_unreported
+        may_grant = state.y_owns_slot or not withheld
+        if state.y_grants and may_grant and not state.y_ledger:
             after = state._replace(
-                y_ledger=frozenset({name}),
-                y_owns=True,
-                grants=state.grants | {(2, name)},
+                y_ledger=frozenset({request}),
+                y_owns_slot=True,
+                grants=state.grants | {(2, request)},
             )
-            yield f"y grants {name}", after
+            yield f"y grants {request}", after
 
 
-def _accepts(state: State, rules: Rules) -> Iterator[Step]:
-    for term, name in state.grants:
-        taker = name
-        if name.entry == "x" and not rules.check_life:
-            taker = name._replace(life=state.life)
-        if taker not in state.open_asks:
+def _accept_steps(state: State, rules: Rules) -> Iterator[Step]:
+    for term, request in state.grants:
+        accepted = request
+        if request.entry == "x" and not rules.check_incarnation:
+            accepted = request._replace(incarnation=state.incarnation)
+        if accepted not in state.pending:
             continue
-        promised = state.promised_x if name.entry == "x" else state.promised_y
+        promised = (
+            state.promised_x if request.entry == "x" else state.promised_y
+        )
         if rules.refuse_old_terms and term < promised:
             continue
         after = state._replace(
-            open_asks=state.open_asks - {taker}, holds=state.holds | {taker}
+            pending=state.pending - {accepted},
+            held_slots=state.held_slots | {accepted},
         )
-        if name.entry == "x":
+        if request.entry == "x":
             after = after._replace(promised_x=max(term, promised))
         else:
             after = after._replace(promised_y=max(term, promised))
-        yield f"{taker} is held under term {term}", after
+        yield f"{accepted} is held under term {term}", after
 
 
-def _releases(state: State, rules: Rules) -> Iterator[Step]:
-    for name in state.holds | state.open_asks:
-        promised = state.promised_x if name.entry == "x" else state.promised_y
-        told = promised < 2 or not rules.release_to_promised
+def _release_steps(state: State, rules: Rules) -> Iterator[Step]:
+    for request in state.held_slots | state.pending:
+        promised = (
+            state.promised_x if request.entry == "x" else state.promised_y
+        )
+        reaches_x = promised < 2 or not rules.release_to_promised_grantor
         after = state._replace(
-            open_asks=state.open_asks - {name},
-            holds=state.holds - {name},
-            told_x=state.told_x | {name} if told else state.told_x,
+            pending=state.pending - {request},
+            held_slots=state.held_slots - {request},
+            releases_to_x=state.releases_to_x | {request}
+            if reaches_x
+            else state.releases_to_x,
         )
-        yield f"{name} ends", after
-    for name in state.x_ledger & state.told_x:
-        after = state._replace(x_ledger=state.x_ledger - {name})
-        yield f"x learns of the end of {name}", after
-    for name in state.y_ledger:
-        closed = name not in state.holds | state.open_asks
-        # What a dead life used is freed by the word of its new life alone.
-        if not rules.keep_open_asks or (closed and _is_live(state, name)):
-            after = state._replace(y_ledger=state.y_ledger - {name})
-            yield f"y learns of the end of {name}", after
-
-
-def _takeover(state: State, rules: Rules) -> Iterator[Step]:
+        yield f"{request} ends", after
+    for request in state.x_ledger & state.releases_to_x:
+        after = state._replace(x_ledger=state.x_ledger - {request})
+        yield f"x learns of the end of {request}", after
+    for request in state.y_ledger:
+        closed = request not in state.held_slots | state.pending
+        # The slots of an earlier incarnation are freed only by an announcement
+        # of the new incarnation.
+        if not rules.keep_pending or (closed and _is_live(state, request)):
+            after = state._replace(y_ledger=state.y_ledger - {request})
+            yield f"y learns of the end of {request}", after
+
+
+def _takeover_steps(state: State, rules: Rules) -> Iterator[Step]:
     if not state.y_grants:
-        mine = frozenset(name for name in state.holds if name.entry == "y")
-        known = mine if rules.report_holds else frozenset()
+        y_slots = frozenset(
+            request for request in state.held_slots if request.entry == "y"
+        )
+        reported_slots = y_slots if rules.report_held_slots else frozenset()
         after = state._replace(
             y_grants=True,
-            y_silent=True,
-            y_ledger=known,
-            y_owns=bool(known),
+            x_unreported=True,
+            y_ledger=reported_slots,
+            y_owns_slot=bool(reported_slots),
             promised_y=2,
         )
         yield "y takes over", after
         return
-    holds = frozenset(name for name in state.holds if name.entry == "x")
+    x_slots = frozenset(
+        request for request in state.held_slots if request.entry == "x"
+    )
     after = state._replace(
         x_grants=False,
         promised_x=2,
-        reports=state.reports | {(state.life, holds)},
+        reports=state.reports | {(state.incarnation, x_slots)},
     )
     yield "x promises and reports", after
-    for life, reported in state.reports:
-        if not state.y_silent or life > state.life:
+    for incarnation, reported in state.reports:
+        if not state.x_unreported or incarnation > state.incarnation:
             continue
-        known = reported if rules.report_holds else frozenset()
-        after = state._replace(y_silent=False, y_ledger=state.y_ledger | known)
-        yield f"y takes the report of life {life}", after
+        reported_slots = reported if rules.report_held_slots else frozenset()
+        after = state._replace(
+            x_unreported=False, y_ledger=state.y_ledger | reported_slots
+        )
+        yield f"y receives the report of incarnation {incarnation}", after
 
 
-def _dies(state: State) -> Iterator[Step]:
-    """X dies and comes back; Y learns that the earlier life has ended."""
-    gone = {name for name in state.holds | state.open_asks if name.entry == "x"}
-    if state.life == 1:
+def _restart_steps(state: State) -> Iterator[Step]:
+    """X crashes and restarts; Y learns that the earlier incarnation ended."""
+    x_requests = {
+        request
+        for request in state.held_slots | state.pending
+        if request.entry == "x"
+    }
+    if state.incarnation == 1:
         after = state._replace(
-            life=2,
+            incarnation=2,
             x_grants=False,
             x_ledger=frozenset(),
             promised_x=0,
-            open_asks=state.open_asks - gone,
-            holds=state.holds - gone,
+            pending=state.pending - x_requests,
+            held_slots=state.held_slots - x_requests,
         )
-        yield "x dies and starts again", after
+        yield "x crashes and restarts", after
     elif state.y_grants:
         ended = {
-            name
-            for name in state.y_ledger
-            if name.entry == "x" and name.life < state.life
+            request
+            for request in state.y_ledger
+            if request.entry == "x" and request.incarnation < state.incarnation
         }
-        after = state._replace(y_silent=False, y_ledger=state.y_ledger - ended)
-        yield "y hears of x's new life", after
+        after = state._replace(
+            x_unreported=False, y_ledger=state.y_ledger - ended
+        )
+        yield "y receives an announcement of x's new incarnation", after
 
 
 def protocol(rules: Rules) -> minicheck.Protocol:
-    """Return the machine under these rules."""
+    """Return the state machine under `rules`."""
 
     def transitions(state: tuple) -> list[Step]:
-        now = State(*state)
+        current = State(*state)
         steps = [
-            *_asks(now),
-            *_grants(now, rules),
-            *_accepts(now, rules),
-            *_releases(now, rules),
-            *_takeover(now, rules),
-            *_dies(now),
+            *_send_steps(current),
+            *_grant_steps(current, rules),
+            *_accept_steps(current, rules),
+            *_release_steps(current, rules),
+            *_takeover_steps(current, rules),
+            *_restart_steps(current),
+        ]
+        return [
+            (name, tuple(after)) for name, after in steps if after != current
         ]
-        return [(name, tuple(after)) for name, after in steps if after != now]
 
     return minicheck.Protocol(
         name="slots",
@@ -217,42 +267,46 @@
         fields=State._fields,
         initial=tuple(State()),
         transitions=transitions,
-        invariants={"one slot, one request": lambda s: len(s["holds"]) <= 1},
+        invariants={
+            "one slot, one request": lambda s: len(s["held_slots"]) <= 1
+        },
     )
 
 
 VARIANTS = {
     "old terms accepted": Rules(refuse_old_terms=False),
     "unreported slots granted": Rules(withhold_unreported=False),
-    "lives not told apart": Rules(check_life=False),
-    "reports without what is held": Rules(report_holds=False),
-    "a sync frees open asks": Rules(keep_open_asks=False),
-    "releases go to the old grantor": Rules(release_to_promised=False),
+    "incarnations not distinguished": Rules(check_incarnation=False),
+    "reports without held slots": Rules(report_held_slots=False),
+    "a sync frees pending requests": Rules(keep_pending=False),
+    "releases go to the old grantor": Rules(release_to_promised_grantor=False),
 }
 
 
 def main() -> int:
-    """Check the protocol and that each broken variant fails."""
+    """Check the rules and each variant; return the exit status."""
     status = 0
     result = minicheck.check_safety(protocol(Rules()), max_states=MAX_STATES)
-    for name, found in result["properties"].items():
+    for name, verdict in result["properties"].items():
         print(
-            f"{name}: holds={found['holds']} states={result['reachable_states']}"
+            f"{name}: holds={verdict['holds']} states={result['reachable_states']}"
         )
-        if found["holds"] is not True:
-            print(found)
+        if verdict["holds"] is not True:
+            print(verdict)
             status = 1
     for label, rules in VARIANTS.items():
         result = minicheck.check_safety(
             protocol(rules), max_states=MAX_STATES_BROKEN
         )
-        broken = [
-            found
-            for found in result["properties"].values()
-            if found["holds"] is False
+        violated = [
+            verdict
+            for verdict in result["properties"].values()
+            if verdict["holds"] is False
         ]
-        print(f"variant {label}: {'fails' if broken else 'NOT SEEN FAILING'}")
-        if not broken:
+        print(
+            f"variant {label}: {'fails' if violated else 'NO VIOLATION FOUND'}"
+        )
+        if not violated:
             status = 1
     return status
 
