--- a/scripts/check.py
+++ b/scripts/check.py
@@ -1,4 +1,4 @@
-"""Run every check and test of the project; end with the counts."""
+"""Run all checks and tests of the project and print the number of failures."""
 
 from concurrent import futures
 import json
@@ -26,7 +26,10 @@
 
 
 class Result(NamedTuple):
-    """Names of what passed and failed, and the output to show."""
+    """Names of the checks and scenarios that passed and failed.
+
+    `output` is shown to the developer; it is empty if nothing failed.
+    """
 
     passed: list[str]
     failed: list[str]
@@ -34,9 +37,9 @@
 
 
 def checks() -> list[Check]:
-    """Return the checks that are no features."""
+    """Return all checks except the features."""
     tool = {name: str(BIN / name) for name in ("ruff", "mypy", "lint-imports")}
-    found = [
+    checks_to_run = [
         Check("format", (tool["ruff"], "format", "--check", ".")),
         Check("lint", (tool["ruff"], "check", ".")),
         Check("imports", (tool["lint-imports"], "--no-cache")),
@@ -44,26 +47,26 @@
     ]
     for path in sorted((ROOT / "spec").glob("*_spec.py")):
         name = f"spec/{path.stem}"
-        found.append(Check(name, (sys.executable, str(path))))
+        checks_to_run.append(Check(name, (sys.executable, str(path))))
     for path in sorted((ROOT / "scripts").glob("check_*.py")):
-        found.append(Check(path.stem, (sys.executable, str(path))))
-    return found
+        checks_to_run.append(Check(path.stem, (sys.executable, str(path))))
+    return checks_to_run
 
 
 def feature_groups() -> list[pathlib.Path]:
-    """Return the feature files; each runs in a process of its own."""
+    """Return the feature files, each of which runs in its own process."""
     return sorted(TESTS.rglob("*.feature"))
 
 
 def environment() -> dict[str, str]:
-    """Return the environment of every check: no caches, fixed hashing."""
+    """Return the environment of the checks, with a fixed hash seed."""
     return {**os.environ, "PYTHONHASHSEED": "0", "PYTHONPATH": str(ROOT)}
 
 
 def run(command: tuple[str, ...]) -> tuple[bool, str]:
     """Run a command; return whether it succeeded, and its output."""
     try:
-        done = subprocess.run(
+        process = subprocess.run(
             command,
             cwd=ROOT,
             env=environment(),
@@ -75,14 +78,14 @@
             check=False,
         )
     except subprocess.TimeoutExpired as exc:
-        return False, f"{exc.output!r}\nno end after {TIMEOUT_S} s"
-    return done.returncode == 0, done.stdout
+        return False, f"{exc.output!r}\nstopped after {TIMEOUT_S} s"
+    return process.returncode == 0, process.stdout
 
 
 def run_check(check: Check) -> Result:
     """Run one check."""
-    good, output = run(check.command)
-    if good:
+    succeeded, output = run(check.command)
+    if succeeded:
         return Result([check.name], [], "")
     return Result([], [check.name], output)
 
@@ -97,28 +100,28 @@
             "--format", "json", "--outfile", str(report),
             "--format", "progress3", "--outfile", "/dev/stdout", str(path),
         )  # fmt: skip
-        good, output = run(command)
+        succeeded, output = run(command)
         try:
             features = json.loads(report.read_text(encoding="utf-8"))
         except (OSError, ValueError):
-            return Result([], [f"{group}: no report"], output)
+            return Result([], [f"{group}: no report was written"], output)
     passed, failed = [], []
     for feature in features:
         for element in feature.get("elements", []):
             if element["type"] == "background":
                 continue
             name = f"{group}: {element['name']}"
-            bucket = passed if element["status"] == "passed" else failed
-            bucket.append(name)
-    if not good and not failed:
-        failed.append(f"{group}: hooks or steps")
-    if good and not passed:
+            names = passed if element["status"] == "passed" else failed
+            names.append(name)
+    if not succeeded and not failed:
+        failed.append(f"{group}: failed outside a scenario")
+    if succeeded and not passed:
         failed.append(f"{group}: no scenario ran")
-    return Result(passed, failed, "" if good else output)
+    return Result(passed, failed, "" if succeeded else output)
 
 
-def known_red() -> list[str]:
-    """Return the listed scenarios that fail for a known fault."""
+def read_known_failures() -> list[str]:
+    """Return the lines of KNOWN-RED.txt: scenarios with a known fault."""
     if not KNOWN_RED.exists():
         return []
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
@@ -126,7 +129,7 @@
 
 
 def main() -> int:
-    """Run all; print failures and the counts; return the exit status."""
+    """Run all checks; print failures and counts; return the exit status."""
     with futures.ThreadPoolExecutor(WORKERS) as pool:
         jobs = [pool.submit(run_check, check) for check in checks()]
         jobs += [pool.submit(run_feature, path) for path in feature_groups()]
@@ -136,20 +139,24 @@
     for result in results:
         if result.output:
             print(result.output)
-    red = known_red()
-    excused = [
-        name for name in failed if any(line.startswith(name) for line in red)
+    known_failures = read_known_failures()
+    expected = [
+        name
+        for name in failed
+        if any(line.startswith(name) for line in known_failures)
     ]
     for name in failed:
-        mark = "KNOWN RED" if name in excused else "FAILED"
-        print(f"{mark} {name}")
-    for line in red:
-        print(f"listed as known red: {line}")
-    if len(red) > MAX_KNOWN_RED:
-        print(f"KNOWN-RED.txt lists {len(red)}; {MAX_KNOWN_RED} are allowed")
+        label = "KNOWN RED" if name in expected else "FAILED"
+        print(f"{label} {name}")
+    for line in known_failures:
+        print(f"listed in KNOWN-RED.txt: {line}")
+    if len(known_failures) > MAX_KNOWN_RED:
+        print(
+            f"KNOWN-RED.txt lists {len(known_failures)}; {MAX_KNOWN_RED} are allowed"
+        )
         return 1
     print(f"{len(passed)} passed, {len(failed)} failed")
-    return 1 if len(failed) > len(excused) or not passed else 0
+    return 1 if len(failed) > len(expected) or not passed else 0
 
 
 if __name__ == "__main__":
--- a/scripts/check_capacity.py
+++ b/scripts/check_capacity.py
@@ -1,4 +1,4 @@
-"""Check that docs/CAPACITY.md says what was measured last."""
+"""Check that docs/CAPACITY.md shows the latest measurements."""
 
 import pathlib
 import sys
@@ -10,10 +10,10 @@
 
 
 def main() -> int:
-    """Return the exit status."""
+    """Check the page; return the exit status."""
     if page.is_current(store.load()):
         return 0
-    print("docs/CAPACITY.md is stale: python -m bench.capacity --write")
+    print("docs/CAPACITY.md is stale; run python -m bench.capacity --write")
     return 1
 
 
--- a/scripts/check_docs.py
+++ b/scripts/check_docs.py
@@ -1,4 +1,4 @@
-"""Build the documentation site; any warning is a failure."""
+"""Check that the documentation builds without warnings."""
 
 import pathlib
 import sys
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Build into a folder that is thrown away; return the exit status."""
+    """Build into a temporary folder; return the exit status."""
     with tempfile.TemporaryDirectory() as folder:
         return build.main(
             ["-q", "-W", "--keep-going", "-b", "html", "-d", f"{folder}/trees",
--- a/scripts/check_log_page.py
+++ b/scripts/check_log_page.py
@@ -1,4 +1,4 @@
-"""Check that docs/operators/log.md explains every event of the code."""
+"""Check that docs/operators/log.md explains every log event."""
 
 import pathlib
 import re
@@ -9,20 +9,20 @@
 _EVENT = re.compile(r'logs\.Event\(\s*"([a-z-]+)"')
 
 
-def events() -> set[str]:
-    """Return the events that the code writes."""
-    found: set[str] = set()
+def logged_events() -> set[str]:
+    """Return the names of the events that the code logs."""
+    names: set[str] = set()
     for path in (ROOT / "hyssopfold").rglob("*.py"):
-        found.update(_EVENT.findall(path.read_text(encoding="utf-8")))
-    return found
+        names.update(_EVENT.findall(path.read_text(encoding="utf-8")))
+    return names
 
 
 def main() -> int:
-    """Return the exit status."""
+    """Check the page; return the exit status."""
     explained = set(
         re.findall(r"`([a-z-]+)`", PAGE.read_text(encoding="utf-8"))
     )
-    missing = sorted(events() - explained)
+    missing = sorted(logged_events() - explained)
     for event in missing:
         print(f"docs/operators/log.md does not explain {event}")
     return 1 if missing else 0
--- a/scripts/check_proofs.py
+++ b/scripts/check_proofs.py
@@ -1,7 +1,7 @@
-"""Put docs/PROOFS.md together from docs/proofs/ and check what it names.
+"""Generate docs/PROOFS.md from docs/proofs/ and check the files that it names.
 
-With `--write` the page is written; without, it must be as it would be written,
-and every file that a row names must exist.
+With `--write` the page is written. Without it, the page must be up to date. In
+both cases every file named in a row must exist.
 """
 
 import pathlib
@@ -11,21 +11,21 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 FRAGMENTS = ROOT / "docs" / "proofs"
 PAGE = ROOT / "docs" / "PROOFS.md"
-_NAMED = re.compile(
+_FILE_NAME = re.compile(
     r"`((?:hyssopfold|tests|spec|bench|docs|scripts)/[\w./-]+)`"
 )
-_HEAD = """# Proofs
+_INTRODUCTION = """# Proofs
 
-For each point of what must always hold and of what fails: the mechanism, the
-file that carries it, the invariant asserted in the program, and what tries to
+For each guarantee and each kind of failure: the mechanism, the file that
+implements it, the invariant asserted in the program, and the tests that try to
 break it. `scripts/check_proofs.py` checks that every file named here exists;
 `make test` runs the features and specifications named.
 """
 
 
 def page() -> str:
-    """Return the page made of all fragments, in the order of their names."""
-    parts = [_HEAD]
+    """Return the page: all fragments, sorted by file name."""
+    parts = [_INTRODUCTION]
     for path in sorted(FRAGMENTS.glob("*.md")):
         parts.append(path.read_text(encoding="utf-8").strip() + "\n")
     return "\n".join(parts)
@@ -33,8 +33,8 @@
 
 def missing_files(text: str) -> list[str]:
     """Return the files named in `text` that do not exist."""
-    named = {match.group(1).rstrip(".") for match in _NAMED.finditer(text)}
-    return sorted(name for name in named if not (ROOT / name).exists())
+    names = {match.group(1).rstrip(".") for match in _FILE_NAME.finditer(text)}
+    return sorted(name for name in names if not (ROOT / name).exists())
 
 
 def main() -> int:
@@ -45,7 +45,7 @@
     faults = [f"no such file: {name}" for name in missing_files(text)]
     if PAGE.read_text(encoding="utf-8") != text:
         faults.append(
-            "docs/PROOFS.md is stale: scripts/check_proofs.py --write"
+            "docs/PROOFS.md is stale; run scripts/check_proofs.py --write"
         )
     for fault in faults:
         print(fault)
--- a/scripts/check_reference.py
+++ b/scripts/check_reference.py
@@ -1,6 +1,7 @@
-"""Write the reference pages of docs/operators/ from the declarations.
+"""Generate the reference pages of docs/operators/ from the code.
 
-With `--write` the pages are written; without, they must be as they would be.
+The pages describe the fields of tables and settings and the errors. With
+`--write` they are written; without it, they must be up to date.
 """
 
 from collections.abc import Sequence
@@ -17,42 +18,46 @@
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 PAGES = ROOT / "docs" / "operators"
 
-_TABLES_HEAD = """# The tables
+_TABLES_INTRODUCTION = """# The tables
 
-One YAML file holds both tables. `hyssopctl tables check FILE` lists every fault
-with its line; `hyssopctl tables apply FILE --expect REV` puts it in force.
-Everything an operator does is a row here: a server, a failure domain or a region
-is drained by naming it under `drains` of its pool, traffic is moved by `weights`
-of a route, and the caps on it are the pool's.
+One YAML file contains both tables. `hyssopctl tables check FILE` lists every
+fault with its line; `hyssopctl tables apply FILE --expect REV` puts the file in
+force. Operators control the system through the rows of this file: to drain a
+server, a failure domain or a region, name it under `drains` of its pool; to move
+traffic, set the `weights` of a route. The caps on a move are fields of the pool.
 """
-_ERRORS_HEAD = """# What each error means
+_ERRORS_INTRODUCTION = """# What each error means
 
-Each error of a daemon or of `hyssopctl` is one line: its kind, what happened,
-and the remedy. `hyssopctl` and the daemons end with the exit status named here.
+Each error of a daemon or of `hyssopctl` is printed on one line: its kind, what
+happened, and the remedy. `hyssopctl` and the daemons end with the exit status
+given here.
 """
 
 
-_SETTINGS_HEAD = """# The settings
+_SETTINGS_INTRODUCTION = """# The settings
 
-Each daemon reads one YAML file, `--settings FILE`; `--check` reads it, prints every
-fault with its line and what is allowed, and ends with status 2 if there is one.
-Unknown keys are refused. Keys, tokens and certificates are named by file and are
-read again when the file changes; all else needs a restart. In a file of keys or
-tokens each line is one; a line that begins with `#` is a comment.
+Each daemon reads one YAML file, `--settings FILE`. With `--check` it only checks
+the file: it prints every fault with its line and the values allowed, and ends
+with status 2 if there is one. Unknown keys are refused. Settings for keys, tokens
+and certificates name a file, which is read again when it changes; a change of any
+other setting needs a restart. A file of keys or tokens has one per line; lines
+that begin with `#` are comments.
 """
 
 
 def _field_rows(fields: Sequence[documents.Field]) -> list[str]:
     lines = ["| key | default | unit | meaning |", "| --- | --- | --- | --- |"]
     for field in fields:
-        default = "required" if field.required else _shown(field.default)
+        default = (
+            "required" if field.required else _format_default(field.default)
+        )
         lines.append(
             f"| `{field.name}` | {default} | {field.unit} | {field.help} |"
         )
     return lines
 
 
-def _shown(value: object) -> str:
+def _format_default(value: object) -> str:
     if value is None:
         return ""
     if isinstance(value, tables.Drains):
@@ -63,8 +68,8 @@
 
 
 def tables_page() -> str:
-    """Return the reference of the tables."""
-    parts = [_TABLES_HEAD, "## Routes\n"]
+    """Return the reference page of the tables."""
+    parts = [_TABLES_INTRODUCTION, "## Routes\n"]
     parts += ["\n".join(_field_rows(tables.ROUTE_FIELDS)) + "\n"]
     parts += ["## Pools\n"]
     parts += ["\n".join(_field_rows(tables.POOL_FIELDS)) + "\n"]
@@ -74,21 +79,23 @@
 
 
 def settings_page() -> str:
-    """Return the reference of the settings."""
+    """Return the reference page of the settings."""
     control = setting_fields.CONTROL_FIELDS
     entry = setting_fields.ENTRY_FIELDS
-    shared = [field for field in control if field in entry]
-    parts = [_SETTINGS_HEAD, "## Of every daemon\n"]
-    parts += ["\n".join(_field_rows(shared)) + "\n"]
+    shared_fields = [field for field in control if field in entry]
+    parts = [_SETTINGS_INTRODUCTION, "## Settings of all daemons\n"]
+    parts += ["\n".join(_field_rows(shared_fields)) + "\n"]
     for title, fields in (("hyssop-control", control), ("hyssop-entry", entry)):
-        own = [field for field in fields if field not in shared]
-        parts += [f"## Of {title} alone\n"]
-        parts += ["\n".join(_field_rows(own)) + "\n"]
+        specific_fields = [
+            field for field in fields if field not in shared_fields
+        ]
+        parts += [f"## Settings of {title} only\n"]
+        parts += ["\n".join(_field_rows(specific_fields)) + "\n"]
     return "\n".join(parts)
 
 
 def errors_page() -> str:
-    """Return the list of errors."""
+    """Return the reference page of the errors."""
     kinds = [
         kind
         for kind in vars(errors).values()
@@ -100,7 +107,7 @@
     for kind in sorted(kinds, key=lambda kind: kind.kind):
         meaning = (kind.__doc__ or "").partition("\n")[0]
         lines.append(f"| `{kind.kind}` | {kind.exit_status} | {meaning} |")
-    return _ERRORS_HEAD + "\n" + "\n".join(lines) + "\n"
+    return _ERRORS_INTRODUCTION + "\n" + "\n".join(lines) + "\n"
 
 
 def main() -> int:
@@ -117,7 +124,10 @@
         elif not path.exists() or path.read_text(encoding="utf-8") != text:
             stale.append(path.name)
     for name in stale:
-        print(f"docs/operators/{name}: scripts/check_reference.py --write")
+        print(
+            f"docs/operators/{name} is stale;"
+            " run scripts/check_reference.py --write"
+        )
     return 1 if stale else 0
 
 
--- a/spec/slots_spec.py
+++ b/spec/slots_spec.py
@@ -62,7 +62,7 @@
         promised_x: Highest term that X has promised or received.
         promised_y: Highest term that Y has promised or received.
         sent: Slot requests that were sent.
-        pending: Slot requests without a grant.
+        pending: Slot requests that are neither granted nor closed.
         held_slots: Slots in use by their holders.
         grants: Grants that were sent, with their terms.
         reports: Reports of X to Y: its incarnation and its slots in use.
