--- a/bench/emulator/__main__.py
+++ b/bench/emulator/__main__.py
@@ -128,7 +128,7 @@
                 ]
                 scores = [job.result() for job in jobs]
                 row = "  ".join(
-                    f"{key} {statistics.mean(score[key] for score in scores):.3f}"
+                    f"{key} {statistics.mean(run[key] for run in scores):.3f}"
                     for key in scores[0]
                 )
                 click.echo(f"{site:12} load {load:.2f}  {row}")
--- a/bench/emulator/ablation.py
+++ b/bench/emulator/ablation.py
@@ -1,7 +1,8 @@
 """Ablation study of the choice of servers: `python -m bench.emulator.ablation`.
 
-Each mechanism is switched off alone, and the same scenarios are simulated again:
-usual load, a burst during the evacuation of a failure domain, and slow servers.
+Each mechanism is switched off alone, and the same scenarios are simulated
+again: usual load, a burst during the evacuation of a failure domain, and slow
+servers.
 """
 
 from collections.abc import Callable
--- a/bench/emulator/simulation.py
+++ b/bench/emulator/simulation.py
@@ -90,7 +90,7 @@
         return messages.Load(self.running, len(self.queue), slots)
 
     def service_s(self, request: CallerRequest, now: float) -> float:
-        """Return the service time of a request and put its object in the cache."""
+        """Return the service time of a request; its object becomes cached."""
         share = CACHED_SHARE if request.key in self._cached_objects else 1.0
         self.runs += 1
         self.cache_misses += share == 1.0
@@ -123,8 +123,8 @@
         site: The deployment.
         load: Factor on all request rates.
         seed: Seed of the random numbers.
-        make_chooser: Returns the object that chooses servers for an entry, given
-            the entry's name and region.
+        make_chooser: Returns the object that chooses servers for an entry;
+            called with the entry's name and region.
     """
 
     def __init__(
@@ -312,7 +312,8 @@
                 for number in range(count):
                     name = f"{pool.name}-{region}-{number}"
                     record = membership.Server(
-                        name, pool.name, name, region, f"{region}-{number % DOMAINS_PER_REGION}",
+                        name, pool.name, name, region,
+                        f"{region}-{number % DOMAINS_PER_REGION}",
                         pool.slots, 300, "ready", 1, 1, 0.0,
                     )  # fmt: skip
                     records.append(record)
@@ -474,7 +475,8 @@
         self._pending.remove(request.number)
         done = messages.AttemptResult("failed", 0.0, False, False)
         entry.record_done(server.record.server_id, done, 3.0, self.now)
-        # Nothing was sent, so two more attempts are allowed (see core/attempts).
+        # Nothing was sent, so two more attempts are allowed (see
+        # core/attempts).
         if len(tried) + 1 >= ATTEMPTS + 2:
             self._refuse(request, 0.1)
             return
@@ -580,8 +582,8 @@
 
         "day" is the share of the total worth that was earned; "windows" is the
         mean of that share in the two worst windows of 2 s, "kind" and "region"
-        its value for the worst kind of request and the worst region. "served" is
-        the share of requests with an answer, "cold" the share of executions
+        its value for the worst kind of request and the worst region. "served"
+        is the share of requests with an answer, "cold" the share of executions
         whose object was not cached, and "far" the number of attempts sent to
         another region per request.
         """
--- a/bench/emulator/sites.py
+++ b/bench/emulator/sites.py
@@ -9,8 +9,8 @@
     `service_s` is the mean service time for an object that the server doesn't
     have cached. `goal_s` is the latency goal, `deadline_s` the deadline, and
     `timeout_s` the time after which a caller gives up. `objects` is the number
-    of objects in each region. `worth` is the value of an answer within `goal_s`;
-    a later one has a fifth of it.
+    of objects in each region. `worth` is the value of an answer within
+    `goal_s`; a later one has a fifth of it.
     """
 
     name: str
@@ -43,10 +43,10 @@
 class Site(NamedTuple):
     """A deployment.
 
-    `entries` is the number of entries by region. Delays are one way, in seconds:
-    from a caller to an entry, and from an entry to a server of its own region or
-    of another one. `load_swing` is the relative amplitude of the load's periodic
-    change.
+    `entries` is the number of entries by region. Delays are one way, in
+    seconds: from a caller to an entry, and from an entry to a server of its own
+    region or of another one. `load_swing` is the relative amplitude of the
+    load's periodic change.
     """
 
     name: str
@@ -161,7 +161,8 @@
     ),
 )
 
-# The casting site, several times as large: long and short requests share a pool.
+# The casting site, several times as large: long and short requests share a
+# pool.
 LARGE_CASTING = Site(
     "large-casting",
     {"dakar": 20, "thies": 21, "stlouis": 21},
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -67,7 +67,8 @@
     if share >= MIN_RECOVERED_SHARE * baseline_share:
         return []
     return [
-        f"worth share {share:.3f} after the faults, {baseline_share:.3f} without"
+        f"worth share after the faults {share:.3f},"
+        f" without faults {baseline_share:.3f}"
     ]
 
 
--- a/bench/soak/faults.py
+++ b/bench/soak/faults.py
@@ -26,8 +26,8 @@
 class Fault(NamedTuple):
     """One fault.
 
-    `begin_s` and `end_s` count from the start of the run. `share` is the share of
-    the servers or entries that it affects; of an evacuation, it selects the
+    `begin_s` and `end_s` count from the start of the run. `share` is the share
+    of the servers or entries that it affects; of an evacuation, it selects the
     failure domain. `factor` is the slowdown of slow servers.
     """
 
@@ -126,7 +126,7 @@
 
 
 def _schedule_entry_losses(sim: simulation.Simulation, fault: Fault) -> None:
-    """Schedule the loss of entries; others of the region serve their callers."""
+    """Schedule the loss of entries; the region keeps at least one entry."""
     for region, entries in sim.entries.items():
         count = min(len(entries) - 1, round(fault.share * len(entries)))
         for entry in sim.rng.sample(entries, count):
--- a/scripts/check.py
+++ b/scripts/check.py
@@ -152,7 +152,8 @@
         print(f"listed in KNOWN-RED.txt: {line}")
     if len(known_failures) > MAX_KNOWN_RED:
         print(
-            f"KNOWN-RED.txt lists {len(known_failures)}; {MAX_KNOWN_RED} are allowed"
+            f"KNOWN-RED.txt lists {len(known_failures)};"
+            f" {MAX_KNOWN_RED} are allowed"
         )
         return 1
     print(f"{len(passed)} passed, {len(failed)} failed")
--- a/scripts/check_reference.py
+++ b/scripts/check_reference.py
@@ -23,8 +23,9 @@
 One YAML file contains both tables. `hyssopctl tables check FILE` lists every
 fault with its line; `hyssopctl tables apply FILE --expect REV` puts the file in
 force. Operators control the system through the rows of this file: to drain a
-server, a failure domain or a region, name it under `drains` of its pool; to move
-traffic, set the `weights` of a route. The caps on a move are fields of the pool.
+server, a failure domain or a region, name it under `drains` of its pool; to
+move traffic, set the `weights` of a route. The caps on a move are fields of the
+pool.
 """
 _ERRORS_INTRODUCTION = """# What each error means
 
@@ -36,12 +37,12 @@
 
 _SETTINGS_INTRODUCTION = """# The settings
 
-Each daemon reads one YAML file, `--settings FILE`. With `--check` it only checks
-the file: it prints every fault with its line and the values allowed, and ends
-with status 2 if there is one. Unknown keys are refused. Settings for keys, tokens
-and certificates name a file, which is read again when it changes; a change of any
-other setting needs a restart. A file of keys or tokens has one per line; lines
-that begin with `#` are comments.
+Each daemon reads one YAML file, `--settings FILE`. With `--check` it only
+checks the file: it prints every fault with its line and the values allowed, and
+ends with status 2 if there is one. Unknown keys are refused. Settings for keys,
+tokens and certificates name a file, which is read again when it changes; a
+change of any other setting needs a restart. A file of keys or tokens has one
+per line; lines that begin with `#` are comments.
 """
 
 
--- a/spec/attempts_spec.py
+++ b/spec/attempts_spec.py
@@ -193,7 +193,7 @@
             Rules()._replace(**{name: False})
         )
         print(
-            f"without {name}: {', '.join(variant_violated) or 'NO VIOLATION FOUND'}"
+            f"without {name}: {', '.join(variant_violated) or 'NO VIOLATION'}"
         )
         if not variant_violated:
             status = 1
--- a/spec/claims_spec.py
+++ b/spec/claims_spec.py
@@ -2,10 +2,10 @@
 
 Three entries are ranked for one key. A request and two resends of it each ask
 the first two entries for the claim, independently and in any order. One fault
-may occur at any moment: an entry that holds claims crashes, and restarts without
-them, or it can't be reached by one of the requests. The invariant must hold under
-the rules of the program; each variant, which lacks one rule, must violate it. Run
-as a script.
+may occur at any moment: an entry that holds claims crashes, and restarts
+without them, or it can't be reached by one of the requests. The invariant must
+hold under the rules of the program; each variant, which lacks one rule, must
+violate it. Run as a script.
 """
 
 import sys
@@ -90,7 +90,7 @@
 
 
 def release(state: State, request: int, rules: Rules) -> State:
-    """Return the state after a request that did not run has freed its claims."""
+    """Return the state after a request that did not run frees its claims."""
     claims = tuple(
         FREE if claimant == request or not rules.release_own_only else claimant
         for claimant in state.claims
--- a/spec/slots_spec.py
+++ b/spec/slots_spec.py
@@ -1,11 +1,11 @@
 """Model of slot leases when the grantor changes, checked exhaustively.
 
 There are one slot and two entries. X is the grantor of term 1; Y becomes the
-grantor of term 2 at any moment. A message may be lost, duplicated or delayed: once
-sent it stays in the network and may arrive any number of times, or never. X may
-crash at any moment and restart as a new incarnation that numbers its requests from
-1 again. The invariant must hold under the rules of the protocol; each variant,
-which lacks one rule, must violate it. Run as a script.
+grantor of term 2 at any moment. A message may be lost, duplicated or delayed:
+once sent it stays in the network and may arrive any number of times, or never.
+X may crash at any moment and restart as a new incarnation that numbers its
+requests from 1 again. The invariant must hold under the rules of the protocol;
+each variant, which lacks one rule, must violate it. Run as a script.
 """
 
 from collections.abc import Iterator
@@ -54,8 +54,8 @@
 
     A slot request is unique, and stays closed once it is closed. A release or a
     sync that may arrive late, twice or never is therefore modelled as a step
-    that the grantor may take at any time after the request was closed. A request
-    in `sent` may arrive at any time, and so may a grant in `grants`.
+    that the grantor may take at any time after the request was closed. A
+    request in `sent` may arrive at any time, and so may a grant in `grants`.
 
     Attributes:
         incarnation: The present incarnation of X.
@@ -289,7 +289,8 @@
     result = minicheck.check_safety(protocol(Rules()), max_states=MAX_STATES)
     for name, verdict in result["properties"].items():
         print(
-            f"{name}: holds={verdict['holds']} states={result['reachable_states']}"
+            f"{name}: holds={verdict['holds']}"
+            f" states={result['reachable_states']}"
         )
         if verdict["holds"] is not True:
             print(verdict)
@@ -303,9 +304,7 @@
             for verdict in result["properties"].values()
             if verdict["holds"] is False
         ]
-        print(
-            f"variant {label}: {'fails' if violated else 'NO VIOLATION FOUND'}"
-        )
+        print(f"variant {label}: {'fails' if violated else 'NO VIOLATION'}")
         if not violated:
             status = 1
     return status
