--- a/bench/chaos/__init__.py
+++ b/bench/chaos/__init__.py
@@ -1,1 +1,1 @@
-"""Failure run over real processes: kills, freezes, blank disks, cuts, races."""
+"""Chaos test on real processes: kills, pauses, lost disks, network faults."""
--- a/bench/chaos/callers.py
+++ b/bench/chaos/callers.py
@@ -1,4 +1,4 @@
-"""Callers and operators of a failure run, and what they note down."""
+"""Callers and operators of a chaos test; they record what they receive."""
 
 import itertools
 import json
@@ -8,14 +8,14 @@
 import trio
 import yaml
 
-from bench.chaos import books
+from bench.chaos import history
 from bench.chaos import layout
 from bench.load import connection
 
 HOST = "mrema.example"
 EXAMPLE = "examples/mrema.yaml"
 _TIMEOUT_S = 15.0
-_TRIES = 6
+_MAX_TRIES = 6
 _UPLOAD_BYTES = 1_000_000
 _UPLOAD_PAUSE_S = 0.1
 FAILURES = (
@@ -28,165 +28,184 @@
 )
 
 
-async def ask(
+async def send_request(
     address: str,
     method: str,
     target: str,
-    body_size: int = 0,
+    body_bytes: int = 0,
     headers: tuple[tuple[str, str], ...] = (),
     pause_s: float = 0.0,
 ) -> connection.Answer:
-    """Return the answer to one request on a connection of its own.
+    """Return the answer to one request, sent on a new connection.
+
+    Args:
+        address: Address of the server.
+        method: Method of the request.
+        target: Path and query.
+        body_bytes: Size of the body.
+        headers: Headers besides host and connection.
+        pause_s: Seconds between the parts of the body.
 
     Raises:
-        OSError: or another of `FAILURES`, when no whole answer came.
+        OSError: or another of `FAILURES`: no complete answer was received.
     """
-    caller = connection.Connection(address)
+    conn = connection.Connection(address)
     try:
         with trio.fail_after(_TIMEOUT_S):
-            named = [("host", HOST), ("connection", "close"), *headers]
-            return await caller.request(
-                method, target, named, body_size, pause_s
+            all_headers = [("host", HOST), ("connection", "close"), *headers]
+            return await conn.request(
+                method, target, all_headers, body_bytes, pause_s
             )
     finally:
-        caller.close()
+        conn.close()
 
 
 class Callers:
-    """Read, pay and upload until told to stop.
+    """Callers that read, pay and upload until they are cancelled.
 
     Args:
-        notes: Where what was told is noted.
-        rng: Source of choices.
-        began: Time at which the run began.
+        run_history: Records the outcomes.
+        rng: Source of random choices.
+        start_time: Time at which the run began.
     """
 
     def __init__(
-        self, notes: books.Books, rng: random.Random, began: float
+        self,
+        run_history: history.History,
+        rng: random.Random,
+        start_time: float,
     ) -> None:
-        self._notes = notes
+        self._history = run_history
         self._rng = rng
-        self._began = began
+        self._start_time = start_time
         self._numbers = itertools.count()
 
-    async def _entry(self, path: str) -> str | None:
-        """Return the entry that some entry's look-up names."""
-        asked = self._rng.choice(layout.names(layout.ENTRY))
+    async def _look_up_entry(self, path: str) -> str | None:
+        """Return an entry, looked up at a random one, or None if that fails."""
+        lookup_entry = self._rng.choice(layout.names(layout.ENTRY))
         target = f"/hyssop/v1/lookup?host={HOST}&path={path}&client=127.0.0.1"
         try:
-            answer = await ask(layout.http_address(asked), "GET", target)
-            named = json.loads(answer.body)["entries"]
-            return str(self._rng.choice(named[:2])["address"])
+            answer = await send_request(
+                layout.http_address(lookup_entry), "GET", target
+            )
+            entries = json.loads(answer.body)["entries"]
+            return str(self._rng.choice(entries[:2])["address"])
         except (*FAILURES, LookupError, TypeError):
             await trio.sleep(0.05)
             return None
 
     async def read(self) -> None:
-        """Read one page after another; each must be the one asked for."""
+        """Read one page after another and check that each is the right one."""
         while True:
             path = f"/catalogue/{next(self._numbers)}"
-            entry = await self._entry(path)
+            entry = await self._look_up_entry(path)
             if entry is None:
                 continue
             try:
-                answer = await ask(entry, "GET", path)
+                answer = await send_request(entry, "GET", path)
             except connection.NotConnectedError:
                 continue
             except FAILURES:
-                self._notes.reads[books.LOST] += 1
+                self._history.reads[history.LOST] += 1
                 continue
-            self._notes.reads[str(answer.status)] += 1
+            self._history.reads[str(answer.status)] += 1
             if answer.status == 200 and json.loads(answer.body)["path"] != path:
-                self._notes.crossed.append(path)
+                self._history.misdelivered_paths.append(path)
 
     async def pay(self) -> None:
-        """Pay; try again only when told that it did not run."""
+        """Send payments; repeat one only if its outcome says it did not run."""
         while True:
             key = f"payment-{next(self._numbers)}"
-            told = await self._pay(key)
-            self._notes.payments[key] = books.Payment(key, told)
+            outcome = await self._pay(key)
+            self._history.payments[key] = history.Payment(key, outcome)
 
     async def _pay(self, key: str) -> str:
-        told = books.NOT_RUN
+        outcome = history.NOT_RUN
         path = f"/payments/{key}"
         headers = (("idempotency-key", key),)
-        for _ in range(_TRIES):
-            entry = await self._entry(path)
+        for _ in range(_MAX_TRIES):
+            entry = await self._look_up_entry(path)
             if entry is None:
                 continue
             try:
-                answer = await ask(entry, "POST", path, 200, headers)
+                answer = await send_request(entry, "POST", path, 200, headers)
             except connection.NotConnectedError:
                 continue
             except FAILURES:
-                return books.LOST
-            told = _told(answer)
-            if told != books.NOT_RUN:
-                return told
+                return history.LOST
+            outcome = _read_outcome(answer)
+            if outcome != history.NOT_RUN:
+                return outcome
             await trio.sleep(0.2)
-        return told
+        return outcome
 
     async def upload(self) -> None:
-        """Upload slowly, so that planned stops come in the midst of it."""
+        """Upload slowly, so that planned stops occur during uploads."""
         while True:
             path = f"/books/{next(self._numbers)}"
-            entry = await self._entry(path)
+            entry = await self._look_up_entry(path)
             if entry is None:
                 continue
-            began = trio.current_time() - self._began
+            start_s = trio.current_time() - self._start_time
             try:
-                answer = await ask(
+                answer = await send_request(
                     entry, "PUT", path, _UPLOAD_BYTES, (), _UPLOAD_PAUSE_S
                 )
-                told = _told(answer)
+                outcome = _read_outcome(answer)
             except connection.NotConnectedError:
                 continue
             except FAILURES:
-                told = books.LOST
-            ended = trio.current_time() - self._began
-            upload = books.Upload(path, began, ended, told)
-            self._notes.uploads.append(upload)
+                outcome = history.LOST
+            end_s = trio.current_time() - self._start_time
+            upload = history.Upload(path, start_s, end_s, outcome)
+            self._history.uploads.append(upload)
 
 
-def _told(answer: connection.Answer) -> str:
+def _read_outcome(answer: connection.Answer) -> str:
     outcome = answer.headers.get(b"hyssop-outcome")
     if outcome is not None:
         return outcome.decode("latin-1")
-    return books.ANSWERED if answer.status == 200 else books.UNKNOWN
+    return history.ANSWERED if answer.status == 200 else history.UNKNOWN
 
 
 class Operators:
-    """Race each other with edits of one revision.
+    """Operators that send concurrent edits based on the same revision.
 
     Args:
-        notes: Where what was accepted is noted.
-        rng: Source of choices.
+        run_history: Records the accepted edits.
+        rng: Source of random choices.
     """
 
-    def __init__(self, notes: books.Books, rng: random.Random) -> None:
-        self._notes = notes
+    def __init__(
+        self, run_history: history.History, rng: random.Random
+    ) -> None:
+        self._history = run_history
         self._rng = rng
         self._numbers = itertools.count(1)
         with open(EXAMPLE, encoding="utf-8") as file:
             self._tables = yaml.safe_load(file)
 
-    async def race(self) -> None:
-        """Send two edits of the same revision at once, over and over."""
+    async def race_edits(self) -> None:
+        """Repeatedly send two concurrent edits of the same revision."""
         while True:
             revision = await self.revision()
             if revision is not None:
                 number = next(self._numbers)
                 async with trio.open_nursery() as nursery:
-                    for side in ("a", "b"):
-                        change_id = f"edit-{number}-{side}"
+                    for suffix in ("a", "b"):
+                        change_id = f"edit-{number}-{suffix}"
                         nursery.start_soon(self._edit, change_id, revision)
             await trio.sleep(self._rng.uniform(0.5, 1.5))
 
     async def revision(self) -> int | None:
-        """Return the revision in force, as some control instance reads it."""
+        """Return the revision in force, read at a random control instance.
+
+        Returns:
+            The revision, or None if the instance gave no valid answer.
+        """
         control = self._rng.choice(layout.names(layout.CONTROL))
         try:
-            answer = await ask(
+            answer = await send_request(
                 layout.http_address(control), "GET", "/hyssop/v1/tables"
             )
             return int(json.loads(answer.body)["revision"])
@@ -194,9 +213,9 @@
             return None
 
     async def _edit(self, change_id: str, expect: int) -> None:
-        """Send an edit until it is settled, as an operator would."""
-        text = self._text()
-        for _ in range(_TRIES):
+        """Send an edit until it is accepted or refused."""
+        text = self._edited_tables()
+        for _ in range(_MAX_TRIES):
             control = self._rng.choice(layout.names(layout.CONTROL))
             try:
                 answer = await put_tables(control, change_id, expect, text)
@@ -205,32 +224,38 @@
                 continue
             if answer.status == 200:
                 revision = int(json.loads(answer.body)["revision"])
-                self._notes.accept(change_id, revision)
+                self._history.record_accepted(change_id, revision)
             if answer.status < 500:
                 return
             await trio.sleep(0.3)
 
-    def _text(self) -> str:
-        changed = json.loads(json.dumps(self._tables))
-        for pool in changed["pools"]:
+    def _edited_tables(self) -> str:
+        tables = json.loads(json.dumps(self._tables))
+        for pool in tables["pools"]:
             pool["headroom"] = round(self._rng.uniform(0.0, 0.2), 3)
-        return str(yaml.safe_dump(changed))
+        return str(yaml.safe_dump(tables))
 
 
 async def put_tables(
     control: str, change_id: str, expect: int, text: str
 ) -> connection.Answer:
-    """Send an edit to one control instance.
+    """Send an edit to one control instance and return the answer.
+
+    Args:
+        control: Name of the control instance.
+        change_id: Id of the change.
+        expect: Revision that the edit is based on.
+        text: The tables.
 
     Raises:
-        OSError: or another of `FAILURES`, when no whole answer came.
+        OSError: or another of `FAILURES`: no complete answer was received.
     """
     body = {"expect": expect, "change_id": change_id, "tables": text}
-    caller = connection.Connection(layout.http_address(control))
+    conn = connection.Connection(layout.http_address(control))
     try:
         with trio.fail_after(_TIMEOUT_S):
-            return await caller.send_bytes(
+            return await conn.send_bytes(
                 "PUT", "/hyssop/v1/tables", HOST, json.dumps(body).encode()
             )
     finally:
-        caller.close()
+        conn.close()
--- a/bench/chaos/crashes.py
+++ b/bench/chaos/crashes.py
@@ -1,104 +1,114 @@
-"""A request that crashes servers, sent to one entry after another."""
+"""Send a request that crashes servers, and check that entries quarantine it."""
 
 import random
 
 import trio
 
-from bench.chaos import books
 from bench.chaos import callers
 from bench.chaos import fleet as fleets
+from bench.chaos import history
 from bench.chaos import layout
 from bench.chaos import schedule
 
-PATH = "/catalogue/crash"
-_GAPS_S = (0.1, 0.8)
-_BACK_AFTER_S = (0.5, 3.0)
-_SEEN_AFTER_S = 0.1
-# Crashes by one request that are allowed before and after all know of it, and
-# the time after which an entry that was disturbed knows what the others do.
-_LIMIT = 3
-_CONTACT_S = 4.0
+CRASHING_PATH = "/catalogue/crash"
+_INTERVAL_RANGE_S = (0.1, 0.8)
+_RESTART_DELAY_RANGE_S = (0.5, 3.0)
+_DETECTION_DELAY_S = 0.1
+# Crashes by one request that are allowed before all entries know of it, and
+# again afterwards; and the time after which an entry that was affected by a
+# fault knows what the others do.
+_MAX_CRASHES = 3
+_PROPAGATION_S = 4.0
 
 
-class Crasher:
-    """Send the request until told to stop; start again what it crashed.
+class CrashInjector:
+    """Sends the request until cancelled and restarts the crashed servers.
 
     Args:
         fleet: The processes.
-        notes: Where crashes are noted.
-        rng: Source of choices.
-        began: Time at which the run began.
+        run_history: Records the crashes.
+        rng: Source of random choices.
+        start_time: Time at which the run began.
     """
 
     def __init__(
         self,
         fleet: fleets.Fleet,
-        notes: books.Books,
+        run_history: history.History,
         rng: random.Random,
-        began: float,
+        start_time: float,
     ) -> None:
         self._fleet = fleet
-        self._notes = notes
+        self._history = run_history
         self._rng = rng
-        self._began = began
+        self._start_time = start_time
 
     async def run(self) -> None:
-        """Send one request after the other."""
+        """Send the request again and again to random entries."""
         async with trio.open_nursery() as nursery:
             while True:
-                await trio.sleep(self._rng.uniform(*_GAPS_S))
+                await trio.sleep(self._rng.uniform(*_INTERVAL_RANGE_S))
                 entry = self._rng.choice(layout.names(layout.ENTRY))
-                sent_s = trio.current_time() - self._began
-                await self._send(entry)
+                sent_s = trio.current_time() - self._start_time
+                await self._send_crashing_request(entry)
                 for name in self._fleet.take_crashed():
-                    self._notes.crashes.append(books.Crash(sent_s, entry))
-                    nursery.start_soon(self._start_again, name)
+                    self._history.crashes.append(history.Crash(sent_s, entry))
+                    nursery.start_soon(self._restart_later, name)
 
-    async def _send(self, entry: str) -> None:
+    async def _send_crashing_request(self, entry: str) -> None:
         headers = (("standin-fault", "crash"),)
         try:
             address = layout.http_address(entry)
-            answer = await callers.ask(address, "GET", PATH, 0, headers)
+            answer = await callers.send_request(
+                address, "GET", CRASHING_PATH, 0, headers
+            )
             outcome = answer.headers.get(b"hyssop-outcome", b"").decode()
-            self._notes.crashers[f"{answer.status} {outcome}"] += 1
+            self._history.crash_request_outcomes[
+                f"{answer.status} {outcome}"
+            ] += 1
         except callers.FAILURES:
-            self._notes.crashers[books.LOST] += 1
-        await trio.sleep(_SEEN_AFTER_S)
+            self._history.crash_request_outcomes[history.LOST] += 1
+        await trio.sleep(_DETECTION_DELAY_S)
 
-    async def _start_again(self, name: str) -> None:
-        await trio.sleep(self._rng.uniform(*_BACK_AFTER_S))
+    async def _restart_later(self, name: str) -> None:
+        await trio.sleep(self._rng.uniform(*_RESTART_DELAY_RANGE_S))
         self._fleet.start(name)
 
 
-def faults_of_crashes(
-    crashes: list[books.Crash], faults: list[schedule.Fault]
+def check_crashes(
+    crashes: list[history.Crash], faults: list[schedule.Fault]
 ) -> list[str]:
-    """Return a finding when entries went on sending what crashes servers."""
-    if len(crashes) <= _LIMIT:
+    """Return a finding if entries sent the request on after they knew of it.
+
+    Args:
+        crashes: The crashes by the request, in the order of time.
+        faults: The faults injected in the run.
+    """
+    if len(crashes) <= _MAX_CRASHES:
         return []
-    known_s = crashes[_LIMIT - 1].sent_s + _CONTACT_S
+    propagated_s = crashes[_MAX_CRASHES - 1].sent_s + _PROPAGATION_S
     late = [
-        one
-        for one in crashes
-        if one.sent_s > known_s and not _is_disturbed(one, faults)
+        crash
+        for crash in crashes
+        if crash.sent_s > propagated_s and not _is_disturbed(crash, faults)
     ]
-    if len(late) <= _LIMIT:
+    if len(late) <= _MAX_CRASHES:
         return []
-    return [f"{len(late)} servers crashed after all knew: {late}"]
+    return [f"{len(late)} servers crashed after all entries knew: {late}"]
 
 
-def _is_disturbed(crash: books.Crash, faults: list[schedule.Fault]) -> bool:
-    """Return whether the entry that sent it may not know what others do."""
+def _is_disturbed(crash: history.Crash, faults: list[schedule.Fault]) -> bool:
+    """Return whether a fault may have kept the entry from knowing of it."""
     return any(
         fault.target == crash.entry
-        and fault.at_s - 1 <= crash.sent_s
-        and crash.sent_s <= fault.at_s + _away_s(fault) + _CONTACT_S
+        and fault.begin_s - 1 <= crash.sent_s
+        and crash.sent_s <= fault.begin_s + _outage_s(fault) + _PROPAGATION_S
         for fault in faults
     )
 
 
-def _away_s(fault: schedule.Fault) -> float:
-    """Return for how long a fault takes its target away, at most."""
+def _outage_s(fault: schedule.Fault) -> float:
+    """Return the greatest time for which a fault's target doesn't serve."""
     if fault.kind == schedule.STOP:
-        return fault.length_s + schedule.STOP_MAX_S
-    return fault.length_s + schedule.START_S
+        return fault.duration_s + schedule.STOP_MAX_S
+    return fault.duration_s + schedule.START_S
--- a/bench/chaos/fleet.py
+++ b/bench/chaos/fleet.py
@@ -1,4 +1,4 @@
-"""The processes of a failure run: started, killed, frozen, stopped."""
+"""Start, stop, kill and pause the processes of a chaos test."""
 
 import pathlib
 import shutil
@@ -16,26 +16,26 @@
 
 
 class Fleet:
-    """Own every process of a run.
+    """The processes of a run, by name.
 
     Args:
-        folder: Where settings, logs, ledgers and data folders go.
+        folder: Folder of settings, logs, ledgers and data.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
         self._folder = folder
-        self._running: dict[str, subprocess.Popen[bytes]] = {}
+        self._processes: dict[str, subprocess.Popen[bytes]] = {}
         self._crashed: set[int] = set()
         self.unclean_stops: list[str] = []
 
     def start(self, name: str) -> None:
-        """Start a process unless it runs; its log goes on where it was."""
-        held = self._running.get(name)
-        if held is not None and held.poll() is None:
+        """Start a process unless it runs; its log is appended to."""
+        process = self._processes.get(name)
+        if process is not None and process.poll() is None:
             return
         command = layout.command(name, self._folder)
         with open(self._folder / f"{name}.log", "ab") as log:
-            self._running[name] = subprocess.Popen(
+            self._processes[name] = subprocess.Popen(
                 (str(BIN / command.program), *command.arguments),
                 stdin=subprocess.DEVNULL,
                 stdout=log,
@@ -48,28 +48,31 @@
             self.start(name)
 
     def kill(self, name: str) -> None:
-        """End a process without warning."""
+        """Kill a process with SIGKILL, also if it is frozen."""
         self._signal(name, signal.SIGCONT)
         self._signal(name, signal.SIGKILL)
-        self._running[name].wait()
+        self._processes[name].wait()
 
-    def blank(self, name: str) -> None:
-        """Kill a control instance and lose its disk."""
+    def wipe(self, name: str) -> None:
+        """Kill a control instance and delete its data folder."""
         self.kill(name)
         shutil.rmtree(self._folder / name, ignore_errors=True)
 
     def freeze(self, name: str) -> None:
-        """Stop a process from running; its sockets stay open."""
+        """Suspend a process; its sockets stay open."""
         self._signal(name, signal.SIGSTOP)
 
-    def thaw(self, name: str) -> None:
-        """Let a frozen process go on."""
+    def resume(self, name: str) -> None:
+        """Resume a frozen process."""
         self._signal(name, signal.SIGCONT)
 
     async def stop(self, name: str) -> None:
-        """Ask a process to stop and wait until it has."""
+        """Stop a process with SIGTERM and wait until it has ended.
+
+        A bad exit status, or no end in time, is added to `unclean_stops`.
+        """
         self._signal(name, signal.SIGTERM)
-        process = self._running[name]
+        process = self._processes[name]
         with trio.move_on_after(_STOP_TIMEOUT_S):
             while process.poll() is None:
                 await trio.sleep(0.05)
@@ -77,35 +80,35 @@
             self.unclean_stops.append(f"{name}: status {process.poll()}")
 
     def take_crashed(self) -> list[str]:
-        """Return the servers that crashed under a request, each once."""
-        found = [
+        """Return the servers crashed by a request since the last call."""
+        names = [
             name
-            for name, process in self._running.items()
+            for name, process in self._processes.items()
             if process.poll() == standin_server.CRASHED_STATUS
             and process.pid not in self._crashed
         ]
-        self._crashed |= {self._running[name].pid for name in found}
-        return found
+        self._crashed |= {self._processes[name].pid for name in names}
+        return names
 
-    def identity(self, name: str) -> int:
-        """Return a number that differs between the lives of a process."""
-        return self._running[name].pid
+    def process_id(self, name: str) -> int:
+        """Return the process id, which identifies an incarnation."""
+        return self._processes[name].pid
 
-    def ended(self) -> list[str]:
-        """Return the processes that ended without being told to."""
+    def unexpectedly_ended(self) -> list[str]:
+        """Return the processes that are not running, with their status."""
         return [
             f"{name}: status {process.poll()}"
-            for name, process in self._running.items()
+            for name, process in self._processes.items()
             if process.poll() is not None
         ]
 
-    def end_all(self) -> None:
-        """End every process at once."""
-        for name, process in self._running.items():
+    def kill_all(self) -> None:
+        """Kill every process."""
+        for name, process in self._processes.items():
             if process.poll() is None:
                 self.kill(name)
 
-    def _signal(self, name: str, number: signal.Signals) -> None:
-        process = self._running[name]
+    def _signal(self, name: str, signum: signal.Signals) -> None:
+        process = self._processes[name]
         if process.poll() is None:
-            process.send_signal(number)
+            process.send_signal(signum)
--- a/bench/chaos/layout.py
+++ b/bench/chaos/layout.py
@@ -1,4 +1,4 @@
-"""Names, addresses and settings of the processes of a failure run."""
+"""Names, addresses and settings of the processes of a chaos test."""
 
 import pathlib
 from typing import NamedTuple
@@ -53,17 +53,17 @@
 
 
 def http_address(name: str) -> str:
-    """Return where a process answers HTTP."""
+    """Return the address at which a process serves HTTP."""
     return _address(_HTTP[role_of(name)], name)
 
 
 def rpc_address(name: str) -> str:
-    """Return where a control instance or an entry answers calls."""
+    """Return the address at which a control instance or entry serves RPC."""
     return _address(_RPC[role_of(name)], name)
 
 
 def relay_address(name: str) -> str:
-    """Return where entries reach a control instance, through a fake link."""
+    """Return the address of the relay in front of a control instance."""
     return _address(_RELAY, name)
 
 
@@ -77,7 +77,7 @@
 
 
 def command(name: str, folder: pathlib.Path) -> Command:
-    """Return how a process is started, writing its settings first."""
+    """Write the settings of a process and return the command to start it."""
     role = role_of(name)
     if role == SERVER:
         return _server_command(name, folder)
@@ -88,8 +88,8 @@
 
 def _settings(name: str, folder: pathlib.Path) -> dict[str, object]:
     role = role_of(name)
-    reach = rpc_address if role == CONTROL else relay_address
-    gossiping = names(CONTROL) + names(ENTRY)
+    control_address = rpc_address if role == CONTROL else relay_address
+    gossip_members = names(CONTROL) + names(ENTRY)
     fields: dict[str, object] = {
         "name": name,
         "region": _region(name),
@@ -97,10 +97,10 @@
         "http_address": http_address(name),
         "gossip_address": _address(_GOSSIP[role], name),
         "gossip_seeds": [
-            _address(_GOSSIP[role_of(other)], other) for other in gossiping
+            _address(_GOSSIP[role_of(other)], other) for other in gossip_members
         ],
         "control": [
-            {"name": other, "rpc_address": reach(other)}
+            {"name": other, "rpc_address": control_address(other)}
             for other in names(CONTROL)
         ],
     }
@@ -115,10 +115,10 @@
 
 
 def _server_command(name: str, folder: pathlib.Path) -> Command:
-    announce = [
-        part
+    announce_arguments = [
+        argument
         for other in (*names(ENTRY), *names(CONTROL))
-        for part in ("--announce-to", http_address(other))
+        for argument in ("--announce-to", http_address(other))
     ]
     return Command(
         "hyssop-standin",
@@ -127,6 +127,6 @@
             "--address", http_address(name), "--region", _region(name),
             "--failure-domain", f"{_region(name)}-1",
             "--slots", str(SLOTS), "--ledger", str(folder / f"{name}.ledger"),
-            *announce,
+            *announce_arguments,
         ),
     )  # fmt: skip
--- a/bench/chaos/relay.py
+++ b/bench/chaos/relay.py
@@ -1,4 +1,4 @@
-"""A fake link in front of a control instance: passes, cuts, delays."""
+"""TCP relay in front of a control instance that can cut or delay the link."""
 
 import contextlib
 
@@ -8,10 +8,12 @@
 
 
 class Relay:
-    """Carry bytes between entries and one control instance.
+    """Forwards bytes between entries and one control instance.
+
+    While `cut` is true it drops all bytes; `delay_s` delays each read.
 
     Args:
-        listen: Address that entries know.
+        listen: Address to which the entries connect.
         target: Address of the control instance.
     """
 
@@ -22,22 +24,30 @@
         self.delay_s = 0.0
 
     async def run(self) -> None:
-        """Carry connections until cancelled."""
+        """Forward connections until cancelled."""
         host, _, port = self._listen.rpartition(":")
-        await trio.serve_tcp(self._carry, int(port), host=host)
+        await trio.serve_tcp(self._forward, int(port), host=host)
 
-    async def _carry(self, near: trio.SocketStream) -> None:
+    async def _forward(self, client_stream: trio.SocketStream) -> None:
         host, _, port = self._target.rpartition(":")
         with contextlib.suppress(OSError, trio.BrokenResourceError):
-            far = await trio.open_tcp_stream(host, int(port))
-            async with far, near, trio.open_nursery() as nursery:
-                nursery.start_soon(self._copy, near, far, nursery)
-                nursery.start_soon(self._copy, far, near, nursery)
+            server_stream = await trio.open_tcp_stream(host, int(port))
+            async with (
+                server_stream,
+                client_stream,
+                trio.open_nursery() as nursery,
+            ):
+                nursery.start_soon(
+                    self._copy, client_stream, server_stream, nursery
+                )
+                nursery.start_soon(
+                    self._copy, server_stream, client_stream, nursery
+                )
 
     async def _copy(
         self,
         source: trio.SocketStream,
-        sink: trio.SocketStream,
+        destination: trio.SocketStream,
         nursery: trio.Nursery,
     ) -> None:
         with contextlib.suppress(
@@ -46,8 +56,9 @@
             async for data in source:
                 if self.delay_s:
                     await trio.sleep(self.delay_s)
-                # A cut swallows what is sent and closes nothing: both ends
-                # see silence, as when something in between forgot them.
+                # A cut drops the bytes and keeps the connections open, so that
+                # neither end gets an error, as when a firewall or NAT device
+                # has lost the connection's state.
                 if not self.cut:
-                    await sink.send_all(data)
+                    await destination.send_all(data)
         nursery.cancel_scope.cancel()
--- a/bench/chaos/schedule.py
+++ b/bench/chaos/schedule.py
@@ -1,4 +1,4 @@
-"""Which faults come when, worked out from a seed alone."""
+"""The schedule of the faults of a chaos test, drawn from a seed."""
 
 import random
 from typing import NamedTuple
@@ -12,8 +12,8 @@
 CUT = "cut"
 DELAY = "delay"
 
-# A fault takes its target away for this many seconds, least and most.
-_LENGTHS_S = {
+# Shortest and longest duration of each kind of fault, in seconds.
+_DURATION_RANGE_S = {
     KILL: (0.5, 3.0),
     FREEZE: (0.5, 6.0),
     BLANK: (0.5, 3.0),
@@ -28,67 +28,77 @@
 }
 _ROLE_WEIGHTS = {layout.CONTROL: 4, layout.ENTRY: 3, layout.SERVER: 3}
 _MEAN_GAP_S = 2.0
-# Nothing fails in the first and the last seconds: the first let the system
-# form, the last show whether it comes back.
+# No faults occur in the first seconds, in which the system forms, nor in the
+# last ones, which show whether it recovers.
 QUIET_START_S = 3.0
 QUIET_END_S = 8.0
-_PAIR_SHARE = 0.3
-# A planned stop lasts at most so long, and a start takes so long.
+_PAIR_PROBABILITY = 0.3
+# Longest duration of a planned stop, and duration of a start.
 STOP_MAX_S = 15.0
 START_S = 2.0
 
 
 class Fault(NamedTuple):
-    """One fault; `at_s` counts from the begin of the run."""
+    """One fault; `begin_s` counts from the start of the run."""
 
-    at_s: float
+    begin_s: float
     kind: str
     target: str
-    length_s: float
+    duration_s: float
 
 
 def plan(seed: int, seconds: float) -> list[Fault]:
-    """Return the faults of a run, in order.
+    """Return the faults of a run in the order of their begin.
 
-    Control instances fail by one at a time, or an accepted edit could be lost
-    for good with the disks that held it; freezes and cuts may overlap with
-    faults of entries and servers, and some faults come in pairs.
+    Only one control instance fails at a time. Otherwise an accepted edit could
+    be lost for good together with all the disks that stored it. Their faults
+    may overlap with those of entries and servers, and some faults occur in
+    pairs.
+
+    Args:
+        seed: Seed of the random numbers.
+        seconds: Length of the run.
     """
     rng = random.Random(seed)
     faults: list[Fault] = []
-    busy: dict[str, float] = {}
-    at = QUIET_START_S
-    while at < seconds - QUIET_END_S:
-        for _ in range(2 if rng.random() < _PAIR_SHARE else 1):
-            fault = _draw(rng, at)
-            group = _group(fault.target)
-            if busy.get(group, 0.0) <= at:
+    busy_until: dict[str, float] = {}
+    begin_s = QUIET_START_S
+    while begin_s < seconds - QUIET_END_S:
+        for _ in range(2 if rng.random() < _PAIR_PROBABILITY else 1):
+            fault = _draw(rng, begin_s)
+            group = _exclusion_group(fault.target)
+            if busy_until.get(group, 0.0) <= begin_s:
                 faults.append(fault)
-                busy[group] = at + fault.length_s + _recovery_s(fault)
-        at += rng.expovariate(1 / _MEAN_GAP_S)
+                busy_until[group] = (
+                    begin_s + fault.duration_s + _recovery_s(fault)
+                )
+        begin_s += rng.expovariate(1 / _MEAN_GAP_S)
     return faults
 
 
-def _draw(rng: random.Random, at: float) -> Fault:
+def _draw(rng: random.Random, begin_s: float) -> Fault:
     roles = list(_ROLE_WEIGHTS)
     (role,) = rng.choices(roles, list(_ROLE_WEIGHTS.values()))
     kind = rng.choice(_KINDS[role])
     target = rng.choice(layout.names(role))
-    shortest, longest = _LENGTHS_S[kind]
-    return Fault(round(at, 3), kind, target, rng.uniform(shortest, longest))
+    shortest, longest = _DURATION_RANGE_S[kind]
+    return Fault(
+        round(begin_s, 3), kind, target, rng.uniform(shortest, longest)
+    )
 
 
-def _group(target: str) -> str:
-    """Return what may not fail twice at once with `target`."""
+def _exclusion_group(target: str) -> str:
+    """Return the name of the group that has at most one fault at a time."""
     role = layout.role_of(target)
     return layout.CONTROL if role == layout.CONTROL else target
 
 
 def _recovery_s(fault: Fault) -> float:
-    """Return how long a target needs until it may fail again.
+    """Return the seconds after a fault until its target may fail again.
 
-    A planned stop lasts as long as the requests in flight and cached
-    look-ups; a process that has just been started knows no signals yet.
+    A planned stop lasts until requests in flight have ended and cached look-ups
+    have expired. A process that has just been started has no signal handlers
+    yet.
     """
     if fault.kind == STOP:
         return STOP_MAX_S
--- a/tests/steps/bench/load/runner_steps.py
+++ b/tests/steps/bench/load/runner_steps.py
@@ -18,7 +18,7 @@
 
 
 class _StalledConnection:
-    """Answer at once, but not within the stall."""
+    """A connection that answers at once, or at the end of the stall."""
 
     def __init__(self, stall):
         self._stall = stall
@@ -37,10 +37,10 @@
 
 @given("a load of {rate:d} requests a second for {seconds:d} s by 1 caller")
 def _(context, rate, seconds):
-    kind = scenarios.Kind("read", "GET", "/{n}", 0, 1.0, False)
+    request_kind = scenarios.Kind("read", "GET", "/{n}", 0, 1.0, False)
     context.load_scenario = scenarios.Scenario(
         "stall", 1, "example", ("127.0.0.1:1",), False, scenarios.OPEN,
-        rate, 1, seconds, 0.0, 30.0, (kind,),
+        rate, 1, seconds, 0.0, 30.0, (request_kind,),
     )  # fmt: skip
 
 
@@ -84,7 +84,7 @@
     assert longest >= limit * 1000, longest
 
 
-@then("two schedules of it are alike, and unlike one of another seed")
+@then("two schedules of it are equal, and differ from one of another seed")
 def _(context):
     first = list(runner.schedule(context.load_scenario))
     assert first == list(runner.schedule(context.load_scenario))
