--- a/bench/emulator/__main__.py
+++ b/bench/emulator/__main__.py
@@ -28,9 +28,9 @@
     seed: int,
     seconds: float,
     slow: tuple[float, float],
-    silence_period_s: float,
+    silence_report_period_s: float,
     burst_factor: float,
-    load_report_neighbours: int,
+    neighbours_each_side: int,
 ) -> dict[str, float]:
     """Return the scores of one simulation, by name.
 
@@ -41,10 +41,11 @@
         seconds: Length of the simulation.
         slow: Share of the servers that become slow, and factor on their service
             time.
-        silence_period_s: Seconds between reports of silent servers; 0 for none.
+        silence_report_period_s: Seconds between reports of silent servers; 0
+            for none.
         burst_factor: Factor on the request rates during the burst; 1 for no
             burst and no evacuation.
-        load_report_neighbours: Entries on each side that receive load reports;
+        neighbours_each_side: Entries on each side that receive load reports;
             0 for no reports.
     """
     sim = simulation.Simulation(
@@ -59,12 +60,12 @@
     if burst_factor > 1:
         sim.add_burst(burst_factor, BURST_SPAN_S)
         sim.evacuate(f"{list(sim.site.entries)[-1]}-0", EVACUATION_SPAN_S)
-    if load_report_neighbours:
+    if neighbours_each_side:
         sim.enable_load_reports(
-            local_placement.BUSY_BATCH_S, load_report_neighbours
+            local_placement.BUSY_BATCH_S, neighbours_each_side
         )
-    if silence_period_s:
-        sim.enable_silence_reports(silence_period_s)
+    if silence_report_period_s:
+        sim.enable_silence_reports(silence_report_period_s)
     sim.run(seconds)
     return sim.worth()
 
@@ -81,14 +82,14 @@
     help="Share of the servers that become slow, and their slowdown factor.",
 )
 @click.option(
-    "--silence-period-s",
-    default=local_placement.TELL_S,
+    "--silence-report-period-s",
+    default=local_placement.SILENCE_REPORT_PERIOD_S,
     show_default=True,
     help="Seconds between entries' reports of silent servers; 0 for none.",
 )
 @click.option(
-    "--load-report-neighbours",
-    default=local_placement.TOLD_EACH_SIDE,
+    "--neighbours-each-side",
+    default=local_placement.NEIGHBOURS_EACH_SIDE,
     show_default=True,
     help="Entries on each side that receive load reports; 0 for none.",
 )
@@ -104,9 +105,9 @@
     loads: str,
     site_names: tuple[str, ...],
     slow: tuple[float, float],
-    silence_period_s: float,
+    silence_report_period_s: float,
     burst: float,
-    load_report_neighbours: int,
+    neighbours_each_side: int,
 ) -> None:
     """Print a row for each site and load: the mean scores over the seeds."""
     with futures.ProcessPoolExecutor() as pool:
@@ -120,9 +121,9 @@
                         seed,
                         seconds,
                         slow,
-                        silence_period_s,
+                        silence_report_period_s,
                         burst,
-                        load_report_neighbours,
+                        neighbours_each_side,
                     )
                     for seed in range(seeds)
                 ]
--- a/bench/emulator/ablation.py
+++ b/bench/emulator/ablation.py
@@ -24,7 +24,7 @@
 BURST_SPAN_S = (20.0, 25.0)
 EVACUATION_SPAN_S = (10.0, 28.0)
 SLOW_SPAN_S = (13.0, 22.0)
-SILENCE_PERIOD_S = 0.5
+SILENCE_REPORT_PERIOD_S = 0.5
 _NEVER = 1e9
 
 
@@ -45,14 +45,14 @@
     """A mechanism, and how it is switched off.
 
     `replacement` replaces the attribute `attribute` of `target`;
-    `silence_period_s` is the period of silence reports, 0 for none.
+    `silence_report_period_s` is the period of silence reports, 0 for none.
     """
 
     name: str
     target: Any = None
     attribute: str = ""
     replacement: Any = None
-    silence_period_s: float = SILENCE_PERIOD_S
+    silence_report_period_s: float = SILENCE_REPORT_PERIOD_S
 
 
 def _choose_least_loaded(
@@ -84,7 +84,7 @@
     ),
     Mechanism("servers' load reports", local, "REPORT_MAX_AGE_S", -1.0),
     Mechanism("silent servers avoided", local, "SILENT_AFTER_GOALS", _NEVER),
-    Mechanism("silence reports", silence_period_s=0.0),
+    Mechanism("silence reports", silence_report_period_s=0.0),
     Mechanism("ejection after a refusal", local, "SHED_EJECTION_S", 0.0),
     Mechanism("ejection after failures", local, "EJECT_AFTER_FAILURES", _NEVER),
 )
@@ -128,8 +128,8 @@
         sim.evacuate(f"{list(sim.site.entries)[-1]}-0", EVACUATION_SPAN_S)
     if scenario.slow:
         sim.slow_down(scenario.slow, 5.0, SLOW_SPAN_S)
-    if mechanism.silence_period_s:
-        sim.enable_silence_reports(mechanism.silence_period_s)
+    if mechanism.silence_report_period_s:
+        sim.enable_silence_reports(mechanism.silence_report_period_s)
     sim.run(DURATION_S)
     worth = sim.worth()
     parts = ("day", "windows", "kind", "region", "served")
--- a/bench/soak/soak_run.py
+++ b/bench/soak/soak_run.py
@@ -57,7 +57,7 @@
 ) -> simulation.Simulation:
     site = sites.SITES[run.site]
     sim = simulation.Simulation(site, run.load, run.seed, local.Chooser)
-    sim.enable_silence_reports(local_placement.TELL_S)
+    sim.enable_silence_reports(local_placement.SILENCE_REPORT_PERIOD_S)
     for fault in planned:
         faults.schedule(sim, fault)
     sim.run(run.seconds)
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -154,7 +154,9 @@
             parts.placement.release(answer, unused)
             return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
         if not effect.tried:
-            parts.steering.note(pool.name, self._decision, answer.server)
+            parts.steering.record_server(
+                pool.name, self._decision, answer.server
+            )
         self._grant = answer
         self._granted_at = trio.current_time()
         self._log_grant(answer, effect)
@@ -162,16 +164,18 @@
 
     async def _read_suspect(self) -> None:
         """Read what tells whether a request is one that may be held back."""
-        if self._parts.quarantine.knows(self._exchange.fingerprint_head):
+        if self._parts.quarantine.may_be_quarantined(
+            self._exchange.fingerprint_head
+        ):
             await self._exchange.read_ahead()
 
     def _is_held(self, effect: events.Acquire) -> bool:
         """Return whether the next attempt is held back, as far as is known."""
         held, exchange = self._parts.quarantine, self._exchange
-        if not held.knows(exchange.fingerprint_head):
+        if not held.may_be_quarantined(exchange.fingerprint_head):
             return False
         attempt_id = f"{exchange.request_id} {len(effect.tried)}"
-        return held.holds(exchange.fingerprint, attempt_id)
+        return held.is_blocked(exchange.fingerprint, attempt_id)
 
     def _avoid(self, tried: tuple[str, ...]) -> list[tuple[str, ...]]:
         """Return what to avoid: failure domains tried, else servers tried."""
@@ -196,7 +200,7 @@
             regions.restrict(
                 self._decision.regions,
                 self._route.allowed_regions,
-                self._exchange.snapshot.held.evacuated,
+                self._exchange.snapshot.state.evacuated,
             ),
             self._route.priority,
             effect.deadline,
@@ -270,7 +274,7 @@
         async def pace(part: bytes, length: int | None) -> None:
             if server.region != parts.region:
                 bulk = length is None or length > BULK_BYTES
-                await parts.pacer.take(server.region, len(part), bulk)
+                await parts.pacer.throttle(server.region, len(part), bulk)
 
         return pace
 
@@ -295,7 +299,7 @@
         done = self._done(kind, answering)
         self._parts.placement.release(grant, done)
         if done.healthy:
-            self._parts.quarantine.answered(self._exchange.fingerprint)
+            self._parts.quarantine.record_answer(self._exchange.fingerprint)
         self._log_attempt(grant, done, answering)
         if kind == "failed":
             self._check_server(grant.server)
@@ -311,8 +315,8 @@
         fingerprint = self._exchange.fingerprint
         may_run = self._machine.last_sent is events.Sent.MAYBE_SENT
         if self._is_broken and may_run and fingerprint:
-            self._parts.upstream.checks.suspect(
-                crash_checks.Broken(
+            self._parts.upstream.checks.schedule_check(
+                crash_checks.BrokenAttempt(
                     server, fingerprint, self._exchange.request_id
                 )
             )
--- a/hyssopfold/entry_parts.py
+++ b/hyssopfold/entry_parts.py
@@ -77,7 +77,7 @@
         )
         self.known = self.spread.directory
         self.config = self._configuration()
-        self.spread.on_revision = self.config.hear
+        self.spread.on_revision = self.config.record_revision
         self.place = self._placement()
         self.connected = connections.Pool(
             self._bound, cfg.proven_connection_s, cfg.connect_timeout_s
@@ -92,7 +92,7 @@
             self.connected, self.crashes, self.meter
         )
         self.servers = upstream.Upstream(self.connected, self.checks)
-        self.clients = blocks.Blocks(cfg.client_blocks)
+        self.clients = blocks.ClientBlocks(cfg.client_blocks)
         self.steer = steering.Steering(
             cfg.region,
             cfg.region_delays_ms,
@@ -100,7 +100,7 @@
             self.known,
             self.clients,
         )
-        self.catch_up = functools.partial(adoption.adopt, self.spread)
+        self.catch_up = functools.partial(adoption.adopt_shares, self.spread)
         self.claimed = claims.Claims(
             lambda: self.spread.myself,
             self.known,
@@ -135,7 +135,7 @@
                 chooser,
                 self.spread,
                 self.rng,
-                lambda: self.config.snapshot.held.evacuated,
+                lambda: self.config.snapshot.state.evacuated,
             )
         # Only entries that grant slots to each other load what that takes.
         from hyssopfold.core.balancing import node
@@ -278,12 +278,12 @@
             children.append(("rpc", serve))
         return children
 
-    def leave(self, listener: serving.Listener) -> leaving.Leave:
+    def leave(self, listener: serving.Listener) -> leaving.PlannedStop:
         """Return the steps of a planned stop."""
-        return leaving.Leave(
+        return leaving.PlannedStop(
             core_stop.Stop(
                 self.cfg.lookup_ttl_s,
-                gossip.SPREAD_S + lookups.MAX_AGE_S,
+                gossip.PROPAGATION_S + lookups.MAX_INDEX_AGE_S,
                 self.cfg.stop_max_s,
                 self.cfg.stop_serve_s,
             ),
