--- a/bench/chaos/__main__.py
+++ b/bench/chaos/__main__.py
@@ -99,9 +99,9 @@
                 for name in layout.names(layout.ENTRY):
                     nursery.start_soon(self._watch_revision, name)
                 for fault in self.faults:
-                    nursery.start_soon(self._inflict, fault, start_time)
+                    nursery.start_soon(self._inject, fault, start_time)
 
-    async def _inflict(self, fault: schedule.Fault, start_time: float) -> None:
+    async def _inject(self, fault: schedule.Fault, start_time: float) -> None:
         await trio.sleep_until(start_time + fault.begin_s)
         click.echo(
             f"{fault.begin_s:7.2f} s  {fault.kind:6} {fault.target:10}"
