--- a/bench/emulator/__main__.py
+++ b/bench/emulator/__main__.py
@@ -82,13 +82,15 @@
     help="Share of the servers that become slow, and their slowdown factor.",
 )
 @click.option(
-    "--silence-report-period-s",
+    "--tell-s",
+    "silence_report_period_s",
     default=local_placement.SILENCE_REPORT_PERIOD_S,
     show_default=True,
     help="Seconds between entries' reports of silent servers; 0 for none.",
 )
 @click.option(
-    "--neighbours-each-side",
+    "--busy",
+    "neighbours_each_side",
     default=local_placement.NEIGHBOURS_EACH_SIDE,
     show_default=True,
     help="Entries on each side that receive load reports; 0 for none.",
