--- a/bench/capacity/datapath.py
+++ b/bench/capacity/datapath.py
@@ -12,13 +12,13 @@
 _SECONDS = 5.0
 _LOOKUP = "/hyssop/v1/lookup?host=shop.example&path=/read/&client=10.0.0.{n}"
 _KINDS = (
-    scenarios.Kind("reads", "GET", "/read/{n}", 0, 1.0, False),
-    scenarios.Kind("look-ups", "GET", _LOOKUP, 0, 1.0, False),
+    scenarios.RequestKind("reads", "GET", "/read/{n}", 0, 1.0, False),
+    scenarios.RequestKind("look-ups", "GET", _LOOKUP, 0, 1.0, False),
 )
 
 
 def _core_share(
-    running: fleet.Fleet, kind: scenarios.Kind, rate: float
+    running: fleet.Fleet, kind: scenarios.RequestKind, rate: float
 ) -> float:
     scenario = scenarios.Scenario(
         name=kind.name,
--- a/bench/datapath/__main__.py
+++ b/bench/datapath/__main__.py
@@ -12,13 +12,13 @@
 from bench.load import scenario as scenarios
 
 CALLERS = (1, 16, 128)
-_READ = scenarios.Kind("read", "GET", "/read/{n}", 0, 1.0, False)
-_ORDER = scenarios.Kind("order", "POST", "/order/{n}", 100, 1.0, False)
-_KEYED = scenarios.Kind("keyed", "POST", "/order/{n}", 100, 1.0, True)
+_READ = scenarios.RequestKind("read", "GET", "/read/{n}", 0, 1.0, False)
+_ORDER = scenarios.RequestKind("order", "POST", "/order/{n}", 100, 1.0, False)
+_KEYED = scenarios.RequestKind("keyed", "POST", "/order/{n}", 100, 1.0, True)
 
 
 def _scenario(
-    address: str, kind: scenarios.Kind, callers: int, seconds: float, seed: int,
+    address: str, kind: scenarios.RequestKind, callers: int, seconds: float, seed: int,
     rate: float = 0,
 ) -> scenarios.Scenario:  # fmt: skip
     return scenarios.Scenario(
--- a/bench/load/runner.py
+++ b/bench/load/runner.py
@@ -26,12 +26,12 @@
 SIGNIFICANT_DIGITS = 3
 
 
-class Planned(NamedTuple):
+class PlannedRequest(NamedTuple):
     """A request and the second of the run in which it should start."""
 
     number: int
-    at: float
-    kind: scenarios.Kind
+    due_s: float
+    kind: scenarios.RequestKind
 
 
 class Tally:
@@ -52,7 +52,7 @@
         self.outcomes[kind, outcome] += 1
 
 
-def schedule(scenario: scenarios.Scenario) -> Iterator[Planned]:
+def schedule(scenario: scenarios.Scenario) -> Iterator[PlannedRequest]:
     """Yield the requests of an open-loop run, with Poisson arrivals."""
     rng = random.Random(scenario.seed)
     weights = [kind.weight for kind in scenario.mix]
@@ -60,7 +60,7 @@
     at, number = rng.expovariate(scenario.rate), 0
     while at < until:
         (kind,) = rng.choices(scenario.mix, weights)
-        yield Planned(number, at, kind)
+        yield PlannedRequest(number, at, kind)
         at += rng.expovariate(scenario.rate)
         number += 1
 
@@ -115,7 +115,7 @@
 
     async def _open_loop(self, nursery: trio.Nursery) -> None:
         for planned in schedule(self._scenario):
-            due = self._began + planned.at
+            due = self._began + planned.due_s
             if due > trio.current_time():
                 await trio.sleep_until(due)
             nursery.start_soon(self._send, planned, due)
@@ -128,11 +128,11 @@
         while trio.current_time() < until:
             (kind,) = self._rng.choices(scenario.mix, weights)
             now = trio.current_time()
-            planned = Planned(number, now - self._began, kind)
+            planned = PlannedRequest(number, now - self._began, kind)
             await self._send(planned, now)
             number += 1
 
-    async def _send(self, planned: Planned, due: float) -> None:
+    async def _send(self, planned: PlannedRequest, due: float) -> None:
         scenario = self._scenario
         outcome = "time-out"
         with trio.move_on_after(due + scenario.timeout_s - trio.current_time()):
@@ -147,12 +147,12 @@
                 raise
             finally:
                 self._return_caller.send_nowait(caller)
-        if planned.at >= scenario.warm_up_s:
+        if planned.due_s >= scenario.warm_up_s:
             took = trio.current_time() - due
             self.tally.add(planned.kind.name, took, outcome)
 
     async def _request(
-        self, caller: connection.Connection, planned: Planned
+        self, caller: connection.Connection, planned: PlannedRequest
     ) -> str:
         kind = planned.kind
         headers = [("host", self._scenario.host)]
--- a/bench/load/scenario.py
+++ b/bench/load/scenario.py
@@ -10,7 +10,7 @@
 CLOSED = "closed"
 
 
-class Kind(NamedTuple):
+class RequestKind(NamedTuple):
     """One kind of request; `{n}` in the path is the request's number."""
 
     name: str
@@ -40,7 +40,7 @@
     seconds: float
     warm_up_s: float
     timeout_s: float
-    mix: tuple[Kind, ...]
+    mix: tuple[RequestKind, ...]
 
 
 _SECONDS = documents.number(float, 0.0, 86_400)
@@ -84,7 +84,7 @@
     documents.Field(
         "mix",
         documents.list_of(
-            documents.record(_KIND, lambda values: Kind(**values))
+            documents.record(_KIND, lambda values: RequestKind(**values))
         ),
         (),
         True,
--- a/tests/steps/bench/load/runner_steps.py
+++ b/tests/steps/bench/load/runner_steps.py
@@ -37,7 +37,7 @@
 
 @given("a load of {rate:d} requests a second for {seconds:d} s by 1 caller")
 def _(context, rate, seconds):
-    kind = scenarios.Kind("read", "GET", "/{n}", 0, 1.0, False)
+    kind = scenarios.RequestKind("read", "GET", "/{n}", 0, 1.0, False)
     context.load_scenario = scenarios.Scenario(
         "stall", 1, "example", ("127.0.0.1:1",), False, scenarios.OPEN,
         rate, 1, seconds, 0.0, 30.0, (kind,),
@@ -67,7 +67,7 @@
     due = [
         planned
         for planned in runner.schedule(context.load_scenario)
-        if begin <= planned.at < end
+        if begin <= planned.due_s < end
     ]
     latencies = context.latencies
     slow = sum(
