--- a/bench/load/__init__.py
+++ b/bench/load/__init__.py
@@ -1,1 +1,1 @@
-"""Load tool: open-loop callers, percentiles, results to compare and plot."""
+"""HTTP load generator: open-loop and closed-loop load, latency percentiles."""
--- a/bench/load/__main__.py
+++ b/bench/load/__main__.py
@@ -14,25 +14,34 @@
 
 @click.group()
 def cli() -> None:
-    """Load entries or servers and say how long the answers took."""
+    """Send load to entries or servers and report the latency of the answers."""
 
 
 @cli.command()
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
-@click.option("--seed", type=int, help="In place of the scenario's seed.")
-@click.option("--entry", "entries", multiple=True, help="In place of its own.")
-@click.option("--rate", type=float, help="In place of the scenario's rate.")
-@click.option("--callers", type=int, help="In place of its callers.")
-@click.option("--seconds", type=float, help="In place of its length.")
-@click.option("--json", "path", help="Where to write the result as JSON.")
-def run(file: str, path: str | None, **given: object) -> None:
-    """Run the scenario in FILE and print a table."""
+@click.option("--seed", type=int, help="Overrides the scenario's seed.")
+@click.option(
+    "--entry",
+    "entries",
+    multiple=True,
+    help="Overrides the scenario's entries; repeatable.",
+)
+@click.option(
+    "--rate", type=float, help="Overrides the scenario's rate, in 1/s."
+)
+@click.option("--callers", type=int, help="Overrides the number of callers.")
+@click.option(
+    "--seconds", type=float, help="Overrides the duration, in seconds."
+)
+@click.option("--json", "path", help="File to write the result to, as JSON.")
+def run(file: str, path: str | None, **overrides: object) -> None:
+    """Run the scenario in FILE and print its latency table."""
     try:
         scenario = scenarios.load(file)
     except errors.InvalidDocumentError as exc:
         click.echo(str(exc), err=True)
         sys.exit(exc.exit_status)
-    changes = {key: value for key, value in given.items() if value}
+    changes = {key: value for key, value in overrides.items() if value}
     scenario = scenario._replace(**changes)  # type: ignore[arg-type]
     load = runner.Run(scenario)
     seconds = trio.run(load.run)
@@ -46,7 +55,7 @@
 @click.argument("before", type=click.Path(exists=True, dir_okay=False))
 @click.argument("after", type=click.Path(exists=True, dir_okay=False))
 def compare(before: str, after: str) -> None:
-    """Print the result AFTER as ratios of the result BEFORE."""
+    """Print each figure of the result AFTER divided by that of BEFORE."""
     click.echo(report.compare(report.load(before), report.load(after)))
 
 
--- a/bench/load/connection.py
+++ b/bench/load/connection.py
@@ -1,4 +1,4 @@
-"""A lean HTTP/1.1 connection of one caller, on h11 and a trio stream."""
+"""A minimal HTTP/1.1 client connection on h11 and a trio stream."""
 
 from typing import NamedTuple
 
@@ -6,16 +6,16 @@
 import trio
 
 _RECEIVE_BYTES = 65_536
-_PART = b"\0" * 65_536
-_BODY_BYTES = 65_536
+_ZEROS = b"\0" * 65_536
+_MAX_KEPT_BYTES = 65_536
 
 
 class NotConnectedError(ConnectionError):
-    """No connection could be opened, so nothing was sent."""
+    """The connection could not be opened; no byte of a request was sent."""
 
 
 class Answer(NamedTuple):
-    """Status, headers, length and the first bytes of a whole answer."""
+    """A complete answer; `body` has its first bytes, `length` counts all."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -24,7 +24,9 @@
 
 
 class Connection:
-    """Send one request after another to one address.
+    """A connection that sends requests to one address, one at a time.
+
+    It is opened by the first request and after each `close`.
 
     Args:
         address: IP number and port.
@@ -43,46 +45,48 @@
         size: int,
         pause_s: float = 0.0,
     ) -> Answer:
-        """Return the whole answer to a request with `size` zero bytes.
+        """Send a request whose body is `size` zero bytes; return the answer.
 
         Args:
             method: Method of the request.
             target: Path and query.
-            headers: Headers, without a length.
-            size: Bytes of body.
-            pause_s: Seconds to wait after each part of the body.
+            headers: Headers, without content-length.
+            size: Length of the body in bytes.
+            pause_s: Seconds to wait after each 64 KiB of the body.
 
         Raises:
-            OSError: when the connection broke.
-            h11.ProtocolError: when the answer was no HTTP or was cut.
+            OSError: when the connection failed.
+            h11.ProtocolError: when the answer is not HTTP or is incomplete.
         """
-        head = [*headers, ("content-length", str(size))] if size else headers
-        await self._begin(method, target, head)
+        all_headers = (
+            [*headers, ("content-length", str(size))] if size else headers
+        )
+        await self._send_head(method, target, all_headers)
         while size > 0:
-            part = _PART[:size]
-            size -= len(part)
-            await self._send(h11.Data(data=part))
+            chunk = _ZEROS[:size]
+            size -= len(chunk)
+            await self._send(h11.Data(data=chunk))
             if pause_s:
                 await trio.sleep(pause_s)
         await self._send(h11.EndOfMessage())
-        return await self._answer()
+        return await self._receive_answer()
 
     async def send_bytes(
         self, method: str, target: str, host: str, body: bytes
     ) -> Answer:
-        """Return the whole answer to a request with this body.
+        """Send a request with this body; return the complete answer.
 
         Raises:
-            OSError: when the connection broke.
-            h11.ProtocolError: when the answer was no HTTP or was cut.
+            OSError: when the connection failed.
+            h11.ProtocolError: when the answer is not HTTP or is incomplete.
         """
-        head = [("host", host), ("content-length", str(len(body)))]
-        await self._begin(method, target, head)
+        all_headers = [("host", host), ("content-length", str(len(body)))]
+        await self._send_head(method, target, all_headers)
         await self._send(h11.Data(data=body))
         await self._send(h11.EndOfMessage())
-        return await self._answer()
+        return await self._receive_answer()
 
-    async def _begin(
+    async def _send_head(
         self, method: str, target: str, headers: list[tuple[str, str]]
     ) -> None:
         await self._connect()
@@ -104,7 +108,7 @@
         if data and self._stream is not None:
             await self._stream.send_all(data)
 
-    async def _answer(self) -> Answer:
+    async def _receive_answer(self) -> Answer:
         status, length, body = 0, 0, b""
         headers: dict[bytes, bytes] = {}
         while True:
@@ -113,7 +117,7 @@
                 status, headers = event.status_code, dict(event.headers)
             elif isinstance(event, h11.Data):
                 length += len(event.data)
-                body += bytes(event.data[: _BODY_BYTES - len(body)])
+                body += bytes(event.data[: _MAX_KEPT_BYTES - len(body)])
             elif isinstance(event, h11.EndOfMessage):
                 break
         if self._http.our_state is h11.DONE is self._http.their_state:
@@ -132,7 +136,7 @@
             self._http.receive_data(data)
 
     def close(self) -> None:
-        """Forget the connection; the next request opens a new one."""
+        """Close the connection; the next request opens a new one."""
         if self._stream is not None:
             self._stream.socket.close()
             self._stream = None
--- a/bench/load/plots.py
+++ b/bench/load/plots.py
@@ -1,4 +1,4 @@
-"""Plots of results; needs matplotlib, which the `plots` extra brings."""
+"""Plots of results; needs matplotlib, which the `plots` extra installs."""
 
 from collections.abc import Sequence
 
@@ -6,8 +6,8 @@
 
 
 def latency_plot(results: Sequence[report.Result], path: str) -> None:
-    """Write a picture of latency against percentile, a line for each kind."""
-    # Imported here, so that all but plots works without matplotlib.
+    """Write a plot of latency by percentile, one line for each request kind."""
+    # Imported here, so that the other commands work without matplotlib.
     import matplotlib  # noqa: PLC0415
 
     matplotlib.use("Agg")
@@ -16,9 +16,13 @@
     figure, axes = pyplot.subplots(figsize=(8, 5))
     for result in results:
         for row in result.rows:
-            names = list(row.percentiles_ms)
-            times = list(row.percentiles_ms.values())
-            axes.plot(names, times, label=f"{result.scenario}: {row.kind}")
+            percentiles = list(row.percentiles_ms)
+            latencies_ms = list(row.percentiles_ms.values())
+            axes.plot(
+                percentiles,
+                latencies_ms,
+                label=f"{result.scenario}: {row.kind}",
+            )
     axes.set_yscale("log")
     axes.set_xlabel("percentile")
     axes.set_ylabel("latency, ms")
--- a/bench/load/report.py
+++ b/bench/load/report.py
@@ -1,4 +1,4 @@
-"""Results of a run: percentiles as JSON, as a table, and against another."""
+"""Results of load runs: percentiles, JSON files, tables and comparisons."""
 
 from collections.abc import Iterable
 import pathlib
@@ -13,7 +13,7 @@
 
 
 class Row(NamedTuple):
-    """Figures of one kind of request; times are in milliseconds."""
+    """Figures of one request kind; latencies are in milliseconds."""
 
     kind: str
     count: int
@@ -23,7 +23,7 @@
 
 
 class Result(NamedTuple):
-    """What one run came to."""
+    """Results of one run; `seconds` is the measured duration."""
 
     scenario: str
     seed: int
@@ -34,7 +34,7 @@
 def summarize(
     scenario: scenarios.Scenario, tally: runner.Tally, seconds: float
 ) -> Result:
-    """Return the figures of a run that was measured for `seconds`."""
+    """Return the result of a run whose measured part took `seconds`."""
     rows = []
     for kind, latencies in sorted(tally.latencies.items()):
         count = latencies.get_total_count()
@@ -45,8 +45,10 @@
         }
         outcomes = {
             outcome: number
-            for (of, outcome), number in sorted(tally.outcomes.items())
-            if of == kind
+            for (outcome_kind, outcome), number in sorted(
+                tally.outcomes.items()
+            )
+            if outcome_kind == kind
         }
         rate = round(count / seconds, 1)
         rows.append(Row(kind, count, rate, percentiles, outcomes))
@@ -55,7 +57,7 @@
 
 
 def save(result: Result, path: str) -> None:
-    """Write a result as JSON."""
+    """Write a result to a JSON file."""
     fields = {
         "scenario": result.scenario,
         "seed": result.seed,
@@ -67,47 +69,51 @@
 
 
 def load(path: str) -> Result:
-    """Return a result that `save` wrote."""
+    """Read a result that `save` wrote."""
     fields = msgspec.json.decode(pathlib.Path(path).read_bytes())
     rows = tuple(Row(**row) for row in fields.pop("rows"))
     return Result(rows=rows, **fields)
 
 
 def table(result: Result) -> str:
-    """Return a result as a table for people."""
+    """Return a result as a text table."""
     names = [f"p{percentile:g}" for percentile in PERCENTILES]
     lines = [
         f"{result.scenario}, seed {result.seed}, {result.seconds:g} s",
-        _line("kind", "count", "1/s", *names, "outcomes"),
+        _format_line("kind", "count", "1/s", *names, "outcomes"),
     ]
     for row in result.rows:
-        times = [f"{value:.2f}" for value in row.percentiles_ms.values()]
+        latencies = [f"{value:.2f}" for value in row.percentiles_ms.values()]
         outcomes = ", ".join(
-            f"{n} x {what}" for what, n in row.outcomes.items()
+            f"{n} x {outcome}" for outcome, n in row.outcomes.items()
         )
         rate = f"{row.per_second:g}"
-        lines.append(_line(row.kind, str(row.count), rate, *times, outcomes))
+        lines.append(
+            _format_line(row.kind, str(row.count), rate, *latencies, outcomes)
+        )
     return "\n".join(lines)
 
 
 def compare(before: Result, after: Result) -> str:
-    """Return a table of `after` against `before`, as ratios."""
-    earlier = {row.kind: row for row in before.rows}
+    """Return a text table of the figures of `after` divided by `before`."""
+    rows_before = {row.kind: row for row in before.rows}
     names = [f"p{percentile:g}" for percentile in PERCENTILES]
     lines = [
         f"{after.scenario} against {before.scenario}: after / before",
-        _line("kind", "count", "1/s", *names, ""),
+        _format_line("kind", "count", "1/s", *names, ""),
     ]
     for row in after.rows:
-        old = earlier.get(row.kind)
-        if old is None:
+        row_before = rows_before.get(row.kind)
+        if row_before is None:
             continue
-        times = [
-            _ratio(row.percentiles_ms[name], old.percentiles_ms[name])
+        latencies = [
+            _ratio(row.percentiles_ms[name], row_before.percentiles_ms[name])
             for name in row.percentiles_ms
         ]
-        rate = _ratio(row.per_second, old.per_second)
-        lines.append(_line(row.kind, str(row.count), rate, *times, ""))
+        rate = _ratio(row.per_second, row_before.per_second)
+        lines.append(
+            _format_line(row.kind, str(row.count), rate, *latencies, "")
+        )
     return "\n".join(lines)
 
 
@@ -115,9 +121,9 @@
     return f"{after / before:.2f}" if before else "-"
 
 
-def _line(kind: str, *cells: str) -> str:
-    return f"{kind:<14}" + "  ".join(_padded(cells))
+def _format_line(kind: str, *cells: str) -> str:
+    return f"{kind:<14}" + "  ".join(_pad(cells))
 
 
-def _padded(cells: Iterable[str]) -> Iterable[str]:
+def _pad(cells: Iterable[str]) -> Iterable[str]:
     return (f"{cell:>9}" for cell in cells)
--- a/bench/load/runner.py
+++ b/bench/load/runner.py
@@ -1,9 +1,9 @@
-"""Run a scenario: a schedule made beforehand, and callers that keep to it.
+"""Runs a load scenario: open-loop by a schedule, or closed-loop.
 
-A request's latency counts from the moment the schedule wanted it to start. A
-caller that waits for a slow answer does not delay the clock of the requests
-behind it, so a stall shows in all the requests that it held up (no
-coordinated omission).
+In an open-loop run the latency of a request is measured from the time at which
+the schedule planned to start it, also when all connections are busy then. A
+stall of a server so shows in the latency of every request that it delayed
+(no coordinated omission).
 """
 
 from collections import Counter
@@ -27,7 +27,7 @@
 
 
 class PlannedRequest(NamedTuple):
-    """A request and the second of the run in which it should start."""
+    """A request; `due_s` is its planned start, in seconds since the run's."""
 
     number: int
     due_s: float
@@ -35,33 +35,33 @@
 
 
 class Tally:
-    """Latencies and outcomes by kind of request."""
+    """Latency histograms and outcome counts by request kind."""
 
     def __init__(self) -> None:
         self.latencies: dict[str, histogram.HdrHistogram] = {}
         self.outcomes: Counter[tuple[str, str]] = Counter()
 
     def add(self, kind: str, seconds: float, outcome: str) -> None:
-        """Count one request."""
+        """Record the latency and the outcome of one request."""
         if kind not in self.latencies:
             self.latencies[kind] = histogram.HdrHistogram(
                 LOWEST_US, HIGHEST_US, SIGNIFICANT_DIGITS
             )
-        micros = min(max(round(seconds * 1e6), LOWEST_US), HIGHEST_US)
-        self.latencies[kind].record_value(micros)
+        latency_us = min(max(round(seconds * 1e6), LOWEST_US), HIGHEST_US)
+        self.latencies[kind].record_value(latency_us)
         self.outcomes[kind, outcome] += 1
 
 
 def schedule(scenario: scenarios.Scenario) -> Iterator[PlannedRequest]:
-    """Yield the requests of an open-loop run, with Poisson arrivals."""
+    """Yield the requests of an open-loop run; arrivals are a Poisson process."""
     rng = random.Random(scenario.seed)
     weights = [kind.weight for kind in scenario.mix]
-    until = scenario.warm_up_s + scenario.seconds
-    at, number = rng.expovariate(scenario.rate), 0
-    while at < until:
+    end_s = scenario.warm_up_s + scenario.seconds
+    due_s, number = rng.expovariate(scenario.rate), 0
+    while due_s < end_s:
         (kind,) = rng.choices(scenario.mix, weights)
-        yield PlannedRequest(number, at, kind)
-        at += rng.expovariate(scenario.rate)
+        yield PlannedRequest(number, due_s, kind)
+        due_s += rng.expovariate(scenario.rate)
         number += 1
 
 
@@ -69,8 +69,8 @@
     """One run of a scenario.
 
     Args:
-        scenario: What to send.
-        connect: Makes a caller's connection to an address.
+        scenario: The load to send.
+        connect: Returns a connection object for an address.
     """
 
     def __init__(
@@ -82,26 +82,26 @@
         self._scenario = scenario
         self._connect = connect
         self._rng = random.Random(scenario.seed + 1)
-        self._began = 0.0
-        send, receive = trio.open_memory_channel[connection.Connection](
+        self._started_at = 0.0
+        release, idle = trio.open_memory_channel[connection.Connection](
             scenario.callers
         )
-        self._return_caller, self._callers = send, receive
+        self._release, self._idle = release, idle
 
     async def run(self) -> float:
-        """Send everything; return the seconds that were measured."""
+        """Send all requests; return the measured duration in seconds."""
         scenario = self._scenario
         for address in await self._addresses():
-            caller = self._connect(address)
-            await self._return_caller.send(caller)
-        self._began = trio.current_time()
+            conn = self._connect(address)
+            await self._release.send(conn)
+        self._started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
             if scenario.arrivals == scenarios.CLOSED:
                 for _ in range(scenario.callers):
                     nursery.start_soon(self._closed_loop)
             else:
                 await self._open_loop(nursery)
-        return trio.current_time() - self._began - scenario.warm_up_s
+        return trio.current_time() - self._started_at - scenario.warm_up_s
 
     async def _addresses(self) -> list[str]:
         scenario = self._scenario
@@ -115,44 +115,48 @@
 
     async def _open_loop(self, nursery: trio.Nursery) -> None:
         for planned in schedule(self._scenario):
-            due = self._began + planned.due_s
+            due = self._started_at + planned.due_s
             if due > trio.current_time():
                 await trio.sleep_until(due)
-            nursery.start_soon(self._send, planned, due)
+            nursery.start_soon(self._send_planned, planned, due)
 
     async def _closed_loop(self) -> None:
         scenario = self._scenario
         weights = [kind.weight for kind in scenario.mix]
-        until = self._began + scenario.warm_up_s + scenario.seconds
+        end_at = self._started_at + scenario.warm_up_s + scenario.seconds
         number = 0
-        while trio.current_time() < until:
+        while trio.current_time() < end_at:
             (kind,) = self._rng.choices(scenario.mix, weights)
             now = trio.current_time()
-            planned = PlannedRequest(number, now - self._began, kind)
-            await self._send(planned, now)
+            planned = PlannedRequest(number, now - self._started_at, kind)
+            await self._send_planned(planned, now)
             number += 1
 
-    async def _send(self, planned: PlannedRequest, due: float) -> None:
+    async def _send_planned(self, planned: PlannedRequest, due: float) -> None:
         scenario = self._scenario
         outcome = "time-out"
         with trio.move_on_after(due + scenario.timeout_s - trio.current_time()):
-            caller = await self._callers.receive()
+            conn = await self._idle.receive()
             try:
-                outcome = await self._request(caller, planned)
-            except (OSError, h11.ProtocolError, trio.BrokenResourceError) as e:
-                caller.close()
-                outcome = type(e).__name__
+                outcome = await self._exchange(conn, planned)
+            except (
+                OSError,
+                h11.ProtocolError,
+                trio.BrokenResourceError,
+            ) as exc:
+                conn.close()
+                outcome = type(exc).__name__
             except trio.Cancelled:
-                caller.close()
+                conn.close()
                 raise
             finally:
-                self._return_caller.send_nowait(caller)
+                self._release.send_nowait(conn)
         if planned.due_s >= scenario.warm_up_s:
-            took = trio.current_time() - due
-            self.tally.add(planned.kind.name, took, outcome)
+            latency_s = trio.current_time() - due
+            self.tally.add(planned.kind.name, latency_s, outcome)
 
-    async def _request(
-        self, caller: connection.Connection, planned: PlannedRequest
+    async def _exchange(
+        self, conn: connection.Connection, planned: PlannedRequest
     ) -> str:
         kind = planned.kind
         headers = [("host", self._scenario.host)]
@@ -160,17 +164,17 @@
             key = f"{self._scenario.name}-{time.time_ns()}-{planned.number}"
             headers.append(("idempotency-key", key))
         path = kind.path.replace("{n}", str(planned.number))
-        answer = await caller.request(kind.method, path, headers, kind.size)
-        refused = answer.headers.get(b"hyssop-outcome")
-        if refused is not None:
-            return f"{answer.status} {refused.decode('latin-1')}"
+        answer = await conn.request(kind.method, path, headers, kind.size)
+        outcome_header = answer.headers.get(b"hyssop-outcome")
+        if outcome_header is not None:
+            return f"{answer.status} {outcome_header.decode('latin-1')}"
         return str(answer.status)
 
 
 async def look_up(scenario: scenarios.Scenario, entry: str) -> str:
-    """Return the entry that `entry` names best for the first kind."""
+    """Return the address that `entry` ranks first for the first kind's path."""
     path = scenario.mix[0].path.replace("{n}", "0")
-    stream = await trio.open_tcp_stream(*_split(entry))
+    stream = await trio.open_tcp_stream(*_host_and_port(entry))
     query = f"host={scenario.host}&path={path}&client=127.0.0.1"
     request = (
         f"GET /hyssop/v1/lookup?{query} HTTP/1.1\r\n"
@@ -179,13 +183,15 @@
     async with stream:
         await stream.send_all(request.encode())
         data = b""
-        async for part in stream:
-            data += part
+        async for chunk in stream:
+            data += chunk
     body = data.partition(b"\r\n\r\n")[2]
-    found = msgspec.json.decode(body[body.index(b"{") : body.rindex(b"}") + 1])
-    return str(found["entries"][0]["address"])
+    ranking = msgspec.json.decode(
+        body[body.index(b"{") : body.rindex(b"}") + 1]
+    )
+    return str(ranking["entries"][0]["address"])
 
 
-def _split(address: str) -> tuple[str, int]:
+def _host_and_port(address: str) -> tuple[str, int]:
     host, _, port = address.rpartition(":")
     return host, int(port)
--- a/bench/load/scenario.py
+++ b/bench/load/scenario.py
@@ -1,4 +1,4 @@
-"""Scenario files: what to send, how often and for how long."""
+"""Scenario files: request kinds, rate, callers and duration of a load run."""
 
 import pathlib
 from typing import NamedTuple
@@ -11,7 +11,11 @@
 
 
 class RequestKind(NamedTuple):
-    """One kind of request; `{n}` in the path is the request's number."""
+    """One kind of request of a scenario's mix.
+
+    `{n}` in the path stands for the request's number, `size` is the length of
+    the body in bytes, and `key` adds an idempotency key.
+    """
 
     name: str
     method: str
@@ -22,11 +26,11 @@
 
 
 class Scenario(NamedTuple):
-    """A load, reproducible from its seed.
+    """A load scenario, reproducible from its seed.
 
-    With arrivals `open` requests start at `rate` a second however long the
-    answers take; with `closed` each caller sends the next request when the
-    last one is answered, and `rate` has no meaning.
+    With arrivals `open`, requests start at `rate` a second, however long the
+    answers take. With `closed`, each caller sends its next request when the
+    previous one is answered, and `rate` is ignored.
     """
 
     name: str
@@ -63,13 +67,13 @@
         documents.list_of(documents.address),
         (),
         True,
-        "addresses of entries, or of a server asked directly",
+        "addresses of entries, or of a server to load directly",
     ),
     documents.Field(
         "look_up",
         documents.boolean,
         True,
-        help="ask the first entry which to use, else use `entries` in turn",
+        help="look up the entry at the first address; else use all in turn",
     ),
     documents.Field("arrivals", documents.string(choices=(OPEN, CLOSED)), OPEN),
     documents.Field(
@@ -77,9 +81,7 @@
     ),
     documents.Field("callers", documents.number(int, 1, 100_000), 64),
     documents.Field("seconds", _SECONDS, 10.0, unit="s"),
-    documents.Field(
-        "warm_up_s", _SECONDS, 1.0, unit="s", help="left out of the figures"
-    ),
+    documents.Field("warm_up_s", _SECONDS, 1.0, unit="s", help="not measured"),
     documents.Field("timeout_s", _SECONDS, 30.0, unit="s"),
     documents.Field(
         "mix",
@@ -88,16 +90,16 @@
         ),
         (),
         True,
-        "a list of kinds of request",
+        "a list of request kinds",
     ),
 )
 
 
 def load(path: str) -> Scenario:
-    """Return the checked scenario in a YAML file.
+    """Read and validate a scenario file in YAML.
 
     Raises:
-        InvalidDocumentError: listing every fault with its line.
+        InvalidDocumentError: with every fault and its line.
     """
     text = pathlib.Path(path).read_text(encoding="utf-8")
     reader, node = documents.compose(text, path)
