--- a/bench/control/cluster.py
+++ b/bench/control/cluster.py
@@ -29,7 +29,7 @@
         self.bytes = 0
 
 
-class SlowClient:
+class DelayedClient:
     """A client whose calls take a delay each way.
 
     Args:
@@ -122,7 +122,7 @@
     traffic = Traffic()
     links = rpc.ConnectionConfig(auth.load("", False), random.Random(1))
     connect = functools.partial(
-        SlowClient, links=links, delay_s=delay_s, traffic=traffic
+        DelayedClient, links=links, delay_s=delay_s, traffic=traffic
     )
     endpoints = [
         messages.Endpoint(f"control-{n}", free_address())
