--- a/bench/control/__init__.py
+++ b/bench/control/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of the durable state."""
+"""Measurements of the control instances' durable state."""
--- a/bench/control/cluster.py
+++ b/bench/control/cluster.py
@@ -1,4 +1,4 @@
-"""Control instances of one process, joined over loopback with a delay."""
+"""A cluster of control instances in one process, over delayed loopback."""
 
 from collections.abc import AsyncIterator
 import contextlib
@@ -22,7 +22,7 @@
 
 
 class Traffic:
-    """What the instances sent to each other, in messages and bytes."""
+    """Counters of the messages and bytes that instances sent to each other."""
 
     def __init__(self) -> None:
         self.messages = 0
@@ -30,30 +30,30 @@
 
 
 class DelayedClient:
-    """A client whose calls take a delay each way.
+    """An RPC client that adds a fixed delay to each call and each answer.
 
     Args:
         address: IP number and port of the peer.
-        links: What all connections have in common.
-        delay_s: One-way delay.
-        traffic: Where messages are counted.
+        connection_config: Settings of the connection.
+        delay_s: One-way delay in seconds.
+        traffic: Counters of the messages that are sent.
     """
 
     def __init__(
         self,
         address: str,
-        links: rpc.ConnectionConfig,
+        connection_config: rpc.ConnectionConfig,
         delay_s: float,
         traffic: Traffic,
     ) -> None:
-        self._client = rpc.Client(address, links)
+        self._client = rpc.Client(address, connection_config)
         self._delay_s = delay_s
         self._traffic = traffic
 
     async def call(
         self, method: rpc.Method, req: consensus_wire.Envelope, timeout_s: float
     ) -> Any:
-        """Return the peer's answer, a round trip later."""
+        """Return the peer's answer, with a delay before and after the call."""
         self._traffic.messages += 1
         self._traffic.bytes += len(req.body)
         if self._delay_s:
@@ -65,18 +65,18 @@
 
 
 def free_address() -> str:
-    """Return an address that nothing uses at this moment."""
+    """Return a loopback address with a port that is free now."""
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
 class Cluster:
-    """Instances that vote, and what they sent.
+    """Voting control instances and their traffic.
 
     Args:
         instances: The instances, all in this process.
-        traffic: What they sent.
+        traffic: Counters of what they send to each other.
     """
 
     def __init__(
@@ -86,13 +86,13 @@
         self.traffic = traffic
 
     async def edit(self, number: int, value: bytes) -> float:
-        """Make an edit through the first instance; return its seconds."""
-        first = self.instances[0]
-        began = trio.current_time()
-        result = await first.edit(f"edit-{number}", number, value)
+        """Make an edit through the first instance; return its latency in s."""
+        proposer = self.instances[0]
+        started_at = trio.current_time()
+        result = await proposer.edit(f"edit-{number}", number, value)
         if not isinstance(result, messages.EditAccepted):
             raise TypeError(f"edit {number}: {result!r}")
-        return trio.current_time() - began
+        return trio.current_time() - started_at
 
 
 def _instance(
@@ -103,26 +103,31 @@
     connect: Any,
 ) -> control_instance.Instance:
     rng = random.Random()
-    data = stack.enter_context(folder.DataFolder(f"{path}/{name}"))
-    kept = records.MemberRecords(data, name, rng.getrandbits)
+    data_folder = stack.enter_context(folder.DataFolder(f"{path}/{name}"))
+    member_records = records.MemberRecords(data_folder, name, rng.getrandbits)
     address = dict(endpoints)[name]
-    identity, durable = kept.open(address)
+    identity, durable = member_records.open(address)
     node = consensus_node.Node(identity, endpoints, durable, rng)
-    return control_instance.Instance(node, kept, connect)
+    return control_instance.Instance(node, member_records, connect)
 
 
 @contextlib.asynccontextmanager
 async def running(count: int, delay_s: float) -> AsyncIterator[Cluster]:
-    """Run `count` instances with real disks until the block ends.
+    """Run a cluster that writes to disk until the block ends.
 
     Args:
         count: Number of instances.
-        delay_s: One-way delay between any two.
+        delay_s: One-way delay between any two, in seconds.
     """
     traffic = Traffic()
-    links = rpc.ConnectionConfig(auth.load("", False), random.Random(1))
+    connection_config = rpc.ConnectionConfig(
+        auth.load("", False), random.Random(1)
+    )
     connect = functools.partial(
-        DelayedClient, links=links, delay_s=delay_s, traffic=traffic
+        DelayedClient,
+        connection_config=connection_config,
+        delay_s=delay_s,
+        traffic=traffic,
     )
     endpoints = [
         messages.Endpoint(f"control-{n}", free_address())
@@ -138,7 +143,7 @@
             for endpoint, instance in zip(endpoints, instances, strict=True):
                 handlers = {consensus_wire.DELIVER: instance.deliver}
                 await nursery.start(
-                    rpc.serve, endpoint.address, handlers, links
+                    rpc.serve, endpoint.address, handlers, connection_config
                 )
                 nursery.start_soon(instance.run)
             while not all(i.register.members for i in instances):
--- a/bench/control/drill.py
+++ b/bench/control/drill.py
@@ -1,8 +1,8 @@
-"""Command `python -m bench.control.drill`: real processes lose disks and halt.
+"""Command `python -m bench.control.drill`: recovery drill on real processes.
 
-Starts three control instances, freezes one, blanks disks one after another,
-loses the majority, restores a backup, spoils a record; each step says what
-`hyssopctl` must answer.
+Starts three control instances, freezes one, erases disks one after another,
+loses the majority, restores a backup and corrupts a record. Each step checks
+the exit status of `hyssopctl`.
 """
 
 import pathlib
@@ -20,37 +20,37 @@
 
 _BIN = pathlib.Path(sys.executable).parent
 _TABLES = "examples/mrema.yaml"
-_NUMBERS = (1, 2, 3)
-_START_S = 4.0
-_REPAIR_S = 20.0
-_RESENDS = 3
+_INSTANCE_NUMBERS = (1, 2, 3)
+_STARTUP_S = 4.0
+_REPAIR_TIMEOUT_S = 20.0
+_MAX_EDIT_ATTEMPTS = 3
 
 
 class DrillError(Exception):
-    """A step did not end as it must."""
+    """A step of the drill had an unexpected result."""
 
 
 class Fleet:
-    """Three control instances as processes, and their operator.
+    """Three processes of control instances, and an operator's commands to them.
 
     Args:
-        folder: Where settings, logs and data folders go.
+        folder: Folder of the settings, logs and data folders.
     """
 
     def __init__(self, folder: pathlib.Path) -> None:
         self.folder = folder
-        self._http = {n: cluster.free_address() for n in _NUMBERS}
-        self._rpc = {n: cluster.free_address() for n in _NUMBERS}
+        self._http = {n: cluster.free_address() for n in _INSTANCE_NUMBERS}
+        self._rpc = {n: cluster.free_address() for n in _INSTANCE_NUMBERS}
         self._processes: dict[int, subprocess.Popen[bytes]] = {}
 
     def _settings(self, number: int) -> str:
         members = ", ".join(
             f"{{name: control-{n}, rpc_address: '{self._rpc[n]}'}}"
-            for n in _NUMBERS
+            for n in _INSTANCE_NUMBERS
         )
         with socket.socket(type=socket.SOCK_DGRAM) as sock:
             sock.bind(("127.0.0.1", 0))
-            gossip = sock.getsockname()[1]
+            gossip_port = sock.getsockname()[1]
         return "\n".join(
             (
                 f"name: control-{number}",
@@ -58,13 +58,13 @@
                 "failure_domain: dar-1",
                 f"http_address: {self._http[number]}",
                 f"rpc_address: {self._rpc[number]}",
-                f"gossip_address: 127.0.0.1:{gossip}",
-                f"data_folder: {self.data(number)}",
+                f"gossip_address: 127.0.0.1:{gossip_port}",
+                f"data_folder: {self.data_folder(number)}",
                 f"control: [{members}]",
             )
         )
 
-    def data(self, number: int) -> pathlib.Path:
+    def data_folder(self, number: int) -> pathlib.Path:
         """Return the data folder of an instance."""
         return self.folder / f"data-{number}"
 
@@ -78,82 +78,88 @@
                 command, stdout=log, stderr=subprocess.STDOUT
             )
 
-    def signal(self, number: int, which: signal.Signals) -> None:
+    def signal(self, number: int, signal_number: signal.Signals) -> None:
         """Send a signal to an instance."""
-        self._processes[number].send_signal(which)
+        self._processes[number].send_signal(signal_number)
 
     def kill(self, number: int) -> None:
-        """Kill an instance at once."""
+        """Send SIGKILL to an instance and wait until it has ended."""
         self._processes[number].kill()
         self._processes[number].wait()
 
-    def lose(self, number: int) -> None:
-        """Kill an instance and lose its disk."""
+    def kill_and_erase(self, number: int) -> None:
+        """Kill an instance and erase its data folder."""
         self.kill(number)
-        shutil.rmtree(self.data(number))
+        shutil.rmtree(self.data_folder(number))
 
     def exit_status(self, number: int) -> int:
-        """Return how an instance ended by itself."""
+        """Wait until an instance exits by itself; return its exit status."""
         return self._processes[number].wait(timeout=10)
 
     def stop(self) -> None:
-        """Kill all that still run."""
+        """Kill the instances that still run."""
         for process in self._processes.values():
             if process.poll() is None:
                 process.kill()
                 process.wait()
 
-    def ctl(self, want: int, *arguments: str) -> str:
+    def ctl(self, expected_status: int, *arguments: str) -> str:
         """Run `hyssopctl`; return what it printed.
 
         Raises:
-            DrillError: when its exit status is not `want`.
+            DrillError: when its exit status is not `expected_status`.
         """
         command = [str(_BIN / "hyssopctl")]
         for address in self._http.values():
             command += ["--control", f"http://{address}"]
-        began = time.monotonic()
-        done = subprocess.run(
+        started_at = time.monotonic()
+        completed = subprocess.run(
             [*command, *arguments],
             capture_output=True,
             text=True,
             check=False,
         )
-        took = time.monotonic() - began
-        said = (done.stdout + done.stderr).strip()
-        click.echo(f"  {took:4.1f} s, exit {done.returncode}: {said}")
-        if done.returncode != want:
-            raise DrillError(f"{arguments}: {done.returncode}, not {want}")
-        return said
-
-    def await_votes(self) -> None:
+        duration_s = time.monotonic() - started_at
+        output = (completed.stdout + completed.stderr).strip()
+        click.echo(
+            f"  {duration_s:4.1f} s, exit {completed.returncode}: {output}"
+        )
+        if completed.returncode != expected_status:
+            raise DrillError(
+                f"{arguments}: {completed.returncode}, not {expected_status}"
+            )
+        return output
+
+    def wait_until_all_vote(self) -> None:
         """Wait until all instances vote.
 
         Raises:
-            DrillError: when they do not within `_REPAIR_S`.
+            DrillError: when they do not within `_REPAIR_TIMEOUT_S` seconds.
         """
-        began = time.monotonic()
-        while time.monotonic() - began < _REPAIR_S:
-            if self.ctl(0, "status").count(" votes revision") == len(_NUMBERS):
+        started_at = time.monotonic()
+        while time.monotonic() - started_at < _REPAIR_TIMEOUT_S:
+            if self.ctl(0, "status").count(" votes revision") == len(
+                _INSTANCE_NUMBERS
+            ):
                 return
             time.sleep(1)
-        raise DrillError("the blank instance was not admitted")
+        raise DrillError("the instance with an erased disk was not admitted")
 
-    def edit(self, want: int, expect: int) -> None:
-        """Apply tables to revision `expect`."""
-        name = f"drill-{expect}"
+    def edit(self, expected_status: int, expect: int) -> None:
+        """Apply the tables with `expect` as the expected revision."""
+        change_id = f"drill-{expect}"
         self.ctl(
-            want, "tables", "apply", _TABLES,
-            "--expect", str(expect), "--change-id", name,
+            expected_status, "tables", "apply", _TABLES,
+            "--expect", str(expect), "--change-id", change_id,
         )  # fmt: skip
 
     def edit_until_accepted(self, expect: int) -> None:
-        """Apply tables, and again as long as the outcome is not known.
+        """Apply the tables; retry while the outcome is unknown.
 
         Raises:
-            DrillError: when it is not accepted in the end.
+            DrillError: when no attempt is accepted.
         """
-        for _ in range(_RESENDS):
+        for _ in range(_MAX_EDIT_ATTEMPTS):
             try:
                 self.edit(0, expect)
             except DrillError:
@@ -162,66 +168,68 @@
         raise DrillError("an edit was not accepted after the second loss")
 
 
-def _say(text: str) -> None:
+def _print_step(text: str) -> None:
     click.echo(f"== {text}")
 
 
-def _drill(fleet: Fleet) -> None:
-    _say("three blank instances form a cluster")
-    for number in _NUMBERS:
+def _run_steps(fleet: Fleet) -> None:
+    _print_step("three instances without data form a cluster")
+    for number in _INSTANCE_NUMBERS:
         fleet.start(number)
-    time.sleep(_START_S)
+    time.sleep(_STARTUP_S)
     fleet.edit(0, 0)
-    _say("one frozen")
+    _print_step("one instance frozen")
     fleet.signal(1, signal.SIGSTOP)
     fleet.edit(0, 1)
     fleet.signal(1, signal.SIGCONT)
-    _say("one killed, its disk lost; then back blank")
-    fleet.lose(2)
+    _print_step(
+        "one instance killed and its disk erased; it starts again without data"
+    )
+    fleet.kill_and_erase(2)
     fleet.edit(0, 2)
     fleet.start(2)
-    fleet.await_votes()
-    _say("a second disk lost right after the repair")
-    fleet.lose(3)
+    fleet.wait_until_all_vote()
+    _print_step("a second disk erased right after the repair")
+    fleet.kill_and_erase(3)
     fleet.edit_until_accepted(3)
     backup = str(fleet.folder / "backup.json")
     fleet.ctl(0, "backup", backup)
-    _say("the majority lost")
-    fleet.lose(1)
+    _print_step("the majority lost")
+    fleet.kill_and_erase(1)
     fleet.edit(4, 4)
     fleet.ctl(1, "status")
-    _say("all blank, the backup restored")
-    fleet.lose(2)
-    for number in _NUMBERS:
+    _print_step("all disks erased; the backup is restored")
+    fleet.kill_and_erase(2)
+    for number in _INSTANCE_NUMBERS:
         fleet.start(number)
-    time.sleep(_START_S)
+    time.sleep(_STARTUP_S)
     fleet.ctl(0, "restore", backup, "--above", "57")
     if "revision 58" not in fleet.ctl(0, "status"):
         raise DrillError("the restored revision is not above all others")
-    _say("a record spoiled: the instance does not start")
+    _print_step("a record corrupted; the instance does not start")
     fleet.kill(3)
-    path = fleet.data(3) / "register"
+    path = fleet.data_folder(3) / "register"
     record = bytearray(path.read_bytes())
     record[-1] ^= 1
     path.write_bytes(record)
     fleet.start(3)
     if fleet.exit_status(3) == 0:
-        raise DrillError("a corrupt record was voted from")
+        raise DrillError("an instance started with a corrupt record")
 
 
 @click.command()
 def main() -> None:
-    """Run the drill; exit 1 if a step does not end as it must."""
+    """Run the drill; exit with 1 if a step has an unexpected result."""
     with tempfile.TemporaryDirectory() as folder:
         fleet = Fleet(pathlib.Path(folder))
         try:
-            _drill(fleet)
+            _run_steps(fleet)
         except DrillError as exc:
             click.echo(f"FAILED {exc}")
             sys.exit(1)
         finally:
             fleet.stop()
-    _say("every step ended as it must")
+    _print_step("every step had the expected result")
 
 
 if __name__ == "__main__":
