--- a/bench/datapath/__init__.py
+++ b/bench/datapath/__init__.py
@@ -1,1 +1,1 @@
-"""What the data path costs: latency, processor time, memory, planned stops."""
+"""Measurements of the data path: latency, CPU, memory and planned stops."""
--- a/bench/datapath/__main__.py
+++ b/bench/datapath/__main__.py
@@ -1,4 +1,4 @@
-"""Command `python -m bench.datapath`."""
+"""Command `python -m bench.datapath`: measures one entry on loopback."""
 
 import time
 
@@ -37,40 +37,40 @@
     )
 
 
-def _load(scenario: scenarios.Scenario) -> report.Row:
-    load = runner.Run(scenario)
-    seconds = trio.run(load.run)
-    (row,) = report.summarize(scenario, load.tally, seconds).rows
+def _run_scenario(scenario: scenarios.Scenario) -> report.Row:
+    load_run = runner.Run(scenario)
+    seconds = trio.run(load_run.run)
+    (row,) = report.summarize(scenario, load_run.tally, seconds).rows
     return row
 
 
 def _print_row(name: str, callers: int, row: report.Row) -> None:
-    p50, p99, p999 = (row.percentiles_ms[key] for key in ("50", "99", "99.9"))
+    p50, p99, p99_9 = (row.percentiles_ms[key] for key in ("50", "99", "99.9"))
     click.echo(
         f"| {name} | {callers} | {row.per_second:.0f} | {p50:.2f} | {p99:.2f}"
-        f" | {p999:.2f} | {row.outcomes} |"
+        f" | {p99_9:.2f} | {row.outcomes} |"
     )
 
 
 @click.group()
 def cli() -> None:
-    """Measure the data path over real processes on loopback."""
+    """Measure the data path with real processes on loopback."""
 
 
 @cli.command()
 @click.option("--seed", default=1)
 @click.option("--seconds", default=4.0)
 def latency(seed: int, seconds: float) -> None:
-    """Closed loops of 1, 16 and 128 callers, direct and by the entry."""
-    with fleet.Fleet() as running:
+    """Latency of 1, 16 and 128 closed-loop callers, direct and by the entry."""
+    with fleet.Fleet() as processes:
         click.echo("| by | callers | req/s | p50 ms | p99 ms | p99.9 ms | |")
         for name, address in (
-            ("stand-in", running.server),
-            ("entry", running.entry),
+            ("stand-in", processes.server),
+            ("entry", processes.entry),
         ):
             for callers in CALLERS:
                 scenario = _scenario(address, _READ, callers, seconds, seed)
-                _print_row(name, callers, _load(scenario))
+                _print_row(name, callers, _run_scenario(scenario))
 
 
 @cli.command("open")
@@ -78,31 +78,36 @@
 @click.option("--seconds", default=8.0)
 @click.option("--rate", "rates", multiple=True, type=float)
 def open_loop(seed: int, seconds: float, rates: tuple[float, ...]) -> None:
-    """Requests at a rate, whatever the answers take."""
-    with fleet.Fleet() as running:
+    """Latency of open-loop requests, sent at a fixed mean rate."""
+    with fleet.Fleet() as processes:
         click.echo("| by | rate | req/s | p50 ms | p99 ms | p99.9 ms | |")
         for rate in rates or (50.0, 200.0):
-            scenario = _scenario(running.entry, _READ, 256, seconds, seed, rate)
-            _print_row("entry", int(rate), _load(scenario))
+            scenario = _scenario(
+                processes.entry, _READ, 256, seconds, seed, rate
+            )
+            _print_row("entry", int(rate), _run_scenario(scenario))
 
 
 @cli.command()
 @click.option("--seed", default=1)
 @click.option("--seconds", default=4.0)
 def cpu(seed: int, seconds: float) -> None:
-    """Processor time of the entry for each request, by kind."""
-    with fleet.Fleet() as running:
+    """CPU time of the entry for each request, by request kind."""
+    with fleet.Fleet() as processes:
         click.echo("| kind | req/s | p50 ms | p99 ms | entry CPU ms/request |")
         for kind in (_READ, _ORDER, _KEYED):
-            before = running.cpu_s("entry")
-            row = _load(_scenario(running.entry, kind, 1, seconds, seed))
-            used = running.cpu_s("entry") - before
-            # The warm-up's requests are paid for too, but not counted.
+            cpu_before_s = processes.cpu_s("entry")
+            row = _run_scenario(
+                _scenario(processes.entry, kind, 1, seconds, seed)
+            )
+            used_cpu_s = processes.cpu_s("entry") - cpu_before_s
+            # The CPU time includes the requests of the 0.5 s warm-up, which
+            # `count` leaves out.
             count = row.count * (seconds + 0.5) / seconds
             p50, p99 = row.percentiles_ms["50"], row.percentiles_ms["99"]
             click.echo(
                 f"| {kind.name} | {row.per_second:.0f} | {p50:.2f} |"
-                f" {p99:.2f} | {used * 1000 / count:.3f} |"
+                f" {p99:.2f} | {used_cpu_s * 1000 / count:.3f} |"
             )
 
 
@@ -111,31 +116,32 @@
 @click.option("--count", default=100)
 @click.option("--each-mb", default=10)
 def memory(large_mb: int, count: int, each_mb: int) -> None:
-    """Resident size of the entry under uploads."""
-    with fleet.Fleet() as running:
-        click.echo(f"at rest: {running.resident_mb('entry'):.1f} MB")
-        began, used = time.monotonic(), running.cpu_s("entry")
-        trio.run(uploads.upload, running.entry, large_mb * 1_000_000)
-        took = time.monotonic() - began
-        used = running.cpu_s("entry") - used
+    """Resident memory of the entry during uploads."""
+    with fleet.Fleet() as processes:
+        click.echo(f"at rest: {processes.resident_mb('entry'):.1f} MB")
+        started_at, used_cpu_s = time.monotonic(), processes.cpu_s("entry")
+        trio.run(uploads.upload, processes.entry, large_mb * 1_000_000)
+        duration_s = time.monotonic() - started_at
+        used_cpu_s = processes.cpu_s("entry") - used_cpu_s
         click.echo(
-            f"after one upload of {large_mb} MB in {took:.1f} s:"
-            f" peak {running.resident_mb('entry', peak=True):.1f} MB,"
-            f" {used * 1000 / large_mb:.2f} ms of CPU for each MB"
+            f"after one upload of {large_mb} MB in {duration_s:.1f} s:"
+            f" peak {processes.resident_mb('entry', peak=True):.1f} MB,"
+            f" {used_cpu_s * 1000 / large_mb:.2f} ms of CPU for each MB"
         )
 
-    async def many(address: str) -> None:
+    async def upload_all(address: str) -> None:
         async with trio.open_nursery() as nursery:
             for _ in range(count):
                 nursery.start_soon(uploads.upload, address, each_mb * 1_000_000)
 
-    with fleet.Fleet() as running:
-        rest = running.resident_mb("entry")
-        trio.run(many, running.entry)
-        peak = running.resident_mb("entry", peak=True)
+    with fleet.Fleet() as processes:
+        idle_mb = processes.resident_mb("entry")
+        trio.run(upload_all, processes.entry)
+        peak_mb = processes.resident_mb("entry", peak=True)
         click.echo(
-            f"{count} uploads of {each_mb} MB at once: {rest:.1f} MB at rest,"
-            f" peak {peak:.1f} MB, {(peak - rest) / count * 1000:.0f} KB each"
+            f"{count} uploads of {each_mb} MB at once: {idle_mb:.1f} MB at rest,"
+            f" peak {peak_mb:.1f} MB,"
+            f" {(peak_mb - idle_mb) / count * 1000:.0f} KB each"
         )
 
 
@@ -144,35 +150,36 @@
 @click.option("--upload-s", default=8.0)
 @click.option("--ttl-s", default=2.0)
 def drain(count: int, upload_s: float, ttl_s: float) -> None:
-    """Planned stop of an entry, with and without uploads under way."""
+    """Duration of a planned stop of an entry, idle and during uploads."""
     for uploading in (0, count):
-        with fleet.Fleet(lookup_ttl_s=ttl_s) as running:
-            trio.run(_drain, running, uploading, upload_s)
+        with fleet.Fleet(lookup_ttl_s=ttl_s) as processes:
+            trio.run(_drain, processes, uploading, upload_s)
 
 
-async def _drain(running: fleet.Fleet, count: int, upload_s: float) -> None:
+async def _drain(processes: fleet.Fleet, count: int, upload_s: float) -> None:
     rate = 1_000_000.0
-    ends: list[float] = []
+    answered_at: list[float] = []
 
-    async def one() -> None:
+    async def upload_one() -> None:
         size = int(rate * upload_s)
-        ends.append(await uploads.upload(running.entry, size, rate))
+        answered_at.append(await uploads.upload(processes.entry, size, rate))
 
     async with trio.open_nursery() as nursery:
         for _ in range(count):
-            nursery.start_soon(one)
+            nursery.start_soon(upload_one)
         await trio.sleep(1.0)
-        asked = time.monotonic()
-        running.ask_to_stop("entry")
-        while running.exit_status("entry") is None:
+        signalled_at = time.monotonic()
+        processes.terminate("entry")
+        while processes.exit_status("entry") is None:
             await trio.sleep(0.02)
-        ended = time.monotonic()
-    last = max(ends, default=asked)
+        exited_at = time.monotonic()
+    last_answer_at = max(answered_at, default=signalled_at)
     click.echo(
         f"{count} uploads of {upload_s:g} s under way: exit status"
-        f" {running.exit_status('entry')} {ended - asked:.2f} s after SIGTERM,"
-        f" {ended - last:.2f} s after the last answer;"
-        f" {len(ends)} of {count} whole"
+        f" {processes.exit_status('entry')}"
+        f" {exited_at - signalled_at:.2f} s after SIGTERM,"
+        f" {exited_at - last_answer_at:.2f} s after the last answer;"
+        f" {len(answered_at)} of {count} whole"
     )
 
 
--- a/bench/datapath/fleet.py
+++ b/bench/datapath/fleet.py
@@ -1,4 +1,4 @@
-"""One control instance, one entry and one stand-in, as processes."""
+"""A small system of three processes: control instance, entry and stand-in."""
 
 import contextlib
 import os
@@ -26,23 +26,25 @@
   - {{name: upload, host: {HOST}, path_prefix: /upload, methods: [PUT],
      pool: shop, repeatable: false, deadline_ms: 600000}}
 """
-_TICKS = os.sysconf("SC_CLK_TCK")
-_PATIENCE_S = 20.0
+_CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+_STARTUP_TIMEOUT_S = 20.0
 
 
-def free_address(kind: socket.SocketKind = socket.SOCK_STREAM) -> str:
-    """Return an address that nothing uses at this moment."""
-    with socket.socket(type=kind) as sock:
+def free_address(socket_kind: socket.SocketKind = socket.SOCK_STREAM) -> str:
+    """Return a loopback address with a port that is free now."""
+    with socket.socket(type=socket_kind) as sock:
         sock.bind(("127.0.0.1", 0))
         return f"127.0.0.1:{sock.getsockname()[1]}"
 
 
 class Fleet(contextlib.AbstractContextManager["Fleet"]):
-    """Run the processes; `entry` and `server` are their addresses.
+    """Runs the processes within a `with` block.
+
+    `entry` and `server` are the addresses of the entry and the stand-in.
 
     Args:
-        service_ms: Mean time the stand-in takes to answer.
-        lookup_ttl_s: How long callers may cache a look-up.
+        service_ms: Mean service time of the stand-in in milliseconds.
+        lookup_ttl_s: Seconds for which callers may cache a look-up.
     """
 
     def __init__(
@@ -55,14 +57,14 @@
         self._service_ms = service_ms
         self._lookup_ttl_s = lookup_ttl_s
         self._stack = contextlib.ExitStack()
-        self._running: dict[str, subprocess.Popen[bytes]] = {}
+        self._processes: dict[str, subprocess.Popen[bytes]] = {}
 
     def __enter__(self) -> "Fleet":
         folder = self._stack.enter_context(tempfile.TemporaryDirectory())
         self._folder = pathlib.Path(folder)
-        gossip = [free_address(socket.SOCK_DGRAM) for _ in range(2)]
-        self._start_daemon("control", self._control, gossip, 0)
-        self._start_daemon("entry", self.entry, gossip, 1)
+        gossip_addresses = [free_address(socket.SOCK_DGRAM) for _ in range(2)]
+        self._start_daemon("control", self._control, gossip_addresses, 0)
+        self._start_daemon("entry", self.entry, gossip_addresses, 1)
         self._start(
             "standin",
             *("server", "--id", "s1", "--pool", "shop", "--region", "dar"),
@@ -72,25 +74,25 @@
             *("--announce-to", self.entry, "--log-level", "error"),
         )
         self._apply_tables()
-        self._await_answer()
+        self._wait_for_answer()
         return self
 
     def __exit__(self, *exc: object) -> None:
-        for process in self._running.values():
+        for process in self._processes.values():
             process.kill()
             process.wait()
         self._stack.close()
 
     def _start_daemon(
-        self, role: str, address: str, gossip: list[str], index: int
+        self, role: str, address: str, gossip_addresses: list[str], index: int
     ) -> None:
         fields: dict[str, object] = {
             "name": f"{role}-1",
             "region": "dar",
             "failure_domain": "dar-1",
             "http_address": address,
-            "gossip_address": gossip[index],
-            "gossip_seeds": gossip,
+            "gossip_address": gossip_addresses[index],
+            "gossip_seeds": gossip_addresses,
             "log_level": "error",
             "control": [{"name": "control-1", "rpc_address": self._rpc}],
         }
@@ -106,7 +108,7 @@
 
     def _start(self, role: str, *arguments: str) -> None:
         with open(self._folder / f"{role}.log", "ab") as log:
-            self._running[role] = subprocess.Popen(
+            self._processes[role] = subprocess.Popen(
                 (str(BIN / f"hyssop-{role}"), *arguments),
                 stdin=subprocess.DEVNULL,
                 stdout=log,
@@ -116,15 +118,15 @@
     def _apply_tables(self) -> None:
         body = {"expect": 0, "change_id": "bench", "tables": TABLES}
         url = f"http://{self._control}/hyssop/v1/tables"
-        self._until_ok("PUT", url, msgspec.json.encode(body))
+        self._retry_until_ok("PUT", url, msgspec.json.encode(body))
 
-    def _await_answer(self) -> None:
-        self._until_ok("GET", f"http://{self.entry}/read", b"")
+    def _wait_for_answer(self) -> None:
+        self._retry_until_ok("GET", f"http://{self.entry}/read", b"")
 
-    def _until_ok(self, method: str, url: str, body: bytes) -> None:
-        until = time.monotonic() + _PATIENCE_S
+    def _retry_until_ok(self, method: str, url: str, body: bytes) -> None:
+        deadline = time.monotonic() + _STARTUP_TIMEOUT_S
         headers = {"host": HOST, "content-length": str(len(body))}
-        while time.monotonic() < until:
+        while time.monotonic() < deadline:
             try:
                 answer = httpcore.request(
                     method, url, headers=headers, content=body
@@ -134,18 +136,24 @@
             except (httpcore.NetworkError, httpcore.ProtocolError):
                 pass
             time.sleep(0.1)
-        raise TimeoutError(f"{url} gave no answer, see {self._folder}")
+        raise TimeoutError(
+            f"no answer with status 200 from {url}, see {self._folder}"
+        )
 
     def cpu_s(self, role: str) -> float:
-        """Return the processor time that a process has used."""
-        pid = self._running[role].pid
+        """Return the CPU time that a process has used, in seconds."""
+        pid = self._processes[role].pid
         stat = pathlib.Path(f"/proc/{pid}/stat").read_text(encoding="ascii")
         fields = stat.rpartition(")")[2].split()
-        return (int(fields[11]) + int(fields[12])) / _TICKS
+        return (int(fields[11]) + int(fields[12])) / _CLOCK_TICKS_PER_S
 
     def resident_mb(self, role: str, peak: bool = False) -> float:
-        """Return the memory that a process holds, or has held at most."""
-        pid = self._running[role].pid
+        """Return the resident memory of a process in MiB, current or peak.
+
+        Raises:
+            ValueError: when the kernel does not report it.
+        """
+        pid = self._processes[role].pid
         name = "VmHWM" if peak else "VmRSS"
         status = pathlib.Path(f"/proc/{pid}/status").read_text(encoding="ascii")
         for line in status.splitlines():
@@ -153,10 +161,10 @@
                 return int(line.split()[1]) / 1024
         raise ValueError(f"no {name} in the status of {role}")
 
-    def ask_to_stop(self, role: str) -> None:
-        """Send a process SIGTERM."""
-        self._running[role].send_signal(signal.SIGTERM)
+    def terminate(self, role: str) -> None:
+        """Send SIGTERM to a process."""
+        self._processes[role].send_signal(signal.SIGTERM)
 
     def exit_status(self, role: str) -> int | None:
-        """Return the exit status of a process that has ended."""
-        return self._running[role].poll()
+        """Return the exit status of a process, or None while it runs."""
+        return self._processes[role].poll()
