--- a/bench/datapath/__main__.py
+++ b/bench/datapath/__main__.py
@@ -18,8 +18,8 @@
 
 
 def _scenario(
-    address: str, kind: scenarios.RequestKind, callers: int, seconds: float, seed: int,
-    rate: float = 0,
+    address: str, kind: scenarios.RequestKind, callers: int, seconds: float,
+    seed: int, rate: float = 0,
 ) -> scenarios.Scenario:  # fmt: skip
     return scenarios.Scenario(
         name=kind.name,
@@ -139,7 +139,8 @@
         trio.run(upload_all, processes.entry)
         peak_mb = processes.resident_mb("entry", peak=True)
         click.echo(
-            f"{count} uploads of {each_mb} MB at once: {idle_mb:.1f} MB at rest,"
+            f"{count} uploads of {each_mb} MB at once:"
+            f" {idle_mb:.1f} MB at rest,"
             f" peak {peak_mb:.1f} MB,"
             f" {(peak_mb - idle_mb) / count * 1000:.0f} KB each"
         )
--- a/bench/datapath/fleet.py
+++ b/bench/datapath/fleet.py
@@ -137,7 +137,7 @@
                 pass
             time.sleep(0.1)
         raise TimeoutError(
-            f"no answer with status 200 from {url}, see {self._folder}"
+            f"{url} did not answer with status 200, see {self._folder}"
         )
 
     def cpu_s(self, role: str) -> float:
--- a/bench/load/runner.py
+++ b/bench/load/runner.py
@@ -53,7 +53,7 @@
 
 
 def schedule(scenario: scenarios.Scenario) -> Iterator[PlannedRequest]:
-    """Yield the requests of an open-loop run; arrivals are a Poisson process."""
+    """Yield the requests of an open-loop run, with Poisson arrivals."""
     rng = random.Random(scenario.seed)
     weights = [kind.weight for kind in scenario.mix]
     end_s = scenario.warm_up_s + scenario.seconds
