--- a/bench/queue_model.py
+++ b/bench/queue_model.py
@@ -49,7 +49,7 @@
     p99: float
     refused: float
     failed: float
-    over_run: int
+    queued_at_server: int
     cross_domain: float
     messages: float
 
@@ -77,27 +77,29 @@
 
 def run(
     deployment: Deployment,
-    policy: Callable[[policies.World], policies.Policy],
+    policy: Callable[[policies.Simulation], policies.Policy],
     load: float,
     case: str,
     seed: int,
     until_s: float,
 ) -> Score:
     """Return the score of one policy in one case."""
-    world = policies.World(deployment, case, random.Random(seed + 1), until_s)
-    chosen = policy(world)
-    world.play(chosen, arrivals(deployment, load, case, seed, until_s))
-    took = sorted(world.took)
+    simulation = policies.Simulation(
+        deployment, case, random.Random(seed + 1), until_s
+    )
+    chosen = policy(simulation)
+    simulation.run(chosen, arrivals(deployment, load, case, seed, until_s))
+    took = sorted(simulation.latencies_s)
     served = max(1, len(took))
-    offered = max(1, served + world.refused + world.failed)
+    offered = max(1, served + simulation.refused + simulation.failed)
     return Score(
         took[int(0.50 * (served - 1))] * 1000 if took else 0.0,
         took[int(0.99 * (served - 1))] * 1000 if took else 0.0,
-        world.refused / offered,
-        world.failed / offered,
-        world.over_run,
-        world.crossed / served,
-        world.messages / offered,
+        simulation.refused / offered,
+        simulation.failed / offered,
+        simulation.queued_at_server,
+        simulation.cross_domain / served,
+        simulation.messages / offered,
     )
 
 
@@ -156,7 +158,9 @@
         if only not in ("all", deployment.name):
             continue
         for case, load in itertools.product(cases or CASES, loads or LOADS):
-            bound = run(deployment, policies.Central, load, case, seed, seconds)
+            bound = run(
+                deployment, policies.CentralQueue, load, case, seed, seconds
+            )
             for name, policy in policies.POLICIES.items():
                 if names and name not in names:
                     continue
@@ -167,7 +171,7 @@
                     f" {score.p50:6.1f} {score.p50 / bound.p50:4.2f}"
                     f" {score.p99:7.1f} {score.p99 / bound.p99:5.2f}"
                     f"  {score.refused:6.3f}  {score.failed:6.3f}"
-                    f"  {score.over_run:8d}  {score.cross_domain:5.2f}"
+                    f"  {score.queued_at_server:8d}  {score.cross_domain:5.2f}"
                     f"  {score.messages:6.2f}",
                     flush=True,
                 )
--- a/bench/queue_model_policies.py
+++ b/bench/queue_model_policies.py
@@ -26,12 +26,12 @@
     """A request: when it comes, at which entry, how long it runs."""
 
     number: int
-    at: float
+    arrival_s: float
     entry: int
     service_s: float
 
 
-class World:
+class Simulation:
     """Time, servers and what is counted.
 
     Args:
@@ -53,74 +53,74 @@
         self.queues: list[deque[Any]] = [
             deque() for _ in range(deployment.servers)
         ]
-        self.dead = [False] * deployment.servers
-        self.entry_dead = False
-        self.took: list[float] = []
-        self.refused = self.failed = self.over_run = 0
-        self.crossed = self.messages = 0
+        self.lost_servers = [False] * deployment.servers
+        self.is_entry_lost = False
+        self.latencies_s: list[float] = []
+        self.refused = self.failed = self.queued_at_server = 0
+        self.cross_domain = self.messages = 0
         self._events: list[Any] = []
         self._order = itertools.count()
 
-    def later(self, delay_s: float, call: Any, *args: Any) -> None:
+    def call_later(self, delay_s: float, call: Any, *args: Any) -> None:
         """Call after a delay."""
         item = (self.now + delay_s, next(self._order), call, args)
         heapq.heappush(self._events, item)
 
-    def domain(self, number: int) -> int:
+    def failure_domain(self, number: int) -> int:
         """Return the failure domain of an entry or server."""
         return number % 2
 
-    def hop_s(self, one: int, other: int) -> float:
+    def message_delay_s(self, one: int, other: int) -> float:
         """Return the delay of a message between two instances."""
-        near = self.domain(one) == self.domain(other)
+        near = self.failure_domain(one) == self.failure_domain(other)
         return 0.0001 if near else float(self.deployment.delay_s)
 
-    def play(self, policy: "Policy", requests: Iterator[Request]) -> None:
+    def run(self, policy: "Policy", requests: Iterator[Request]) -> None:
         """Run all requests through a policy."""
-        self.later(self.fault_at, self._fail, policy)
-        self.later(0.0, policy.tick)
+        self.call_later(self.fault_at, self._fail, policy)
+        self.call_later(0.0, policy.update_reports)
         pending = next(requests, None)
         while pending is not None or self._events:
             if pending is not None and (
-                not self._events or pending.at <= self._events[0][0]
+                not self._events or pending.arrival_s <= self._events[0][0]
             ):
-                self.now = pending.at
+                self.now = pending.arrival_s
                 self._arrive(policy, pending)
                 pending = next(requests, None)
                 if pending is None:
-                    policy.stop()
+                    policy.end_arrivals()
                 continue
             self.now, _, call, args = heapq.heappop(self._events)
             call(*args)
 
     def _arrive(self, policy: "Policy", req: Request) -> None:
         # Callers of a lost entry use the next one of their look-up.
-        if self.entry_dead and req.entry == 0:
+        if self.is_entry_lost and req.entry == 0:
             others = self.deployment.entries - 1
             req = req._replace(entry=1 + req.number % others)
         policy.arrive(req)
 
     def _fail(self, policy: "Policy") -> None:
         if self.case == "server-lost":
-            self.dead[0] = True
+            self.lost_servers[0] = True
             for req in self.queues[0]:
                 self.failed += 1
-                policy.done(req, 0, False)
+                policy.request_ended(req, 0, False)
             self.queues[0].clear()
-            self.later(LEASE_S, policy.server_gone, 0)
+            self.call_later(LEASE_S, policy.server_lease_ended, 0)
         if self.case == "entry-lost":
-            self.entry_dead = True
-            policy.entry_gone()
+            self.is_entry_lost = True
+            policy.entry_lost()
 
     def serve(self, policy: "Policy", req: Request, server: int) -> None:
         """Send a request to a server; it queues there if all slots are busy."""
-        if self.dead[server]:
+        if self.lost_servers[server]:
             # Nothing was sent: the connection was refused.
-            self.later(FAILURE_S, policy.failed, req, server)
+            self.call_later(FAILURE_S, policy.connection_refused, req, server)
             return
         slots = self.deployment.slots
         if self.busy[server] >= slots:
-            self.over_run += 1
+            self.queued_at_server += 1
             self.queues[server].append(req)
             return
         self.busy[server] += 1
@@ -129,40 +129,42 @@
     def _start(self, policy: "Policy", req: Request, server: int) -> None:
         slow = self.case == "slow-server" and self.now >= self.fault_at
         factor = SLOW_FACTOR if slow and server == 0 else 1.0
-        self.later(req.service_s * factor, self._end, policy, req, server)
+        self.call_later(req.service_s * factor, self._end, policy, req, server)
 
     def _end(self, policy: "Policy", req: Request, server: int) -> None:
-        if self.dead[server]:
+        if self.lost_servers[server]:
             self.failed += 1
-            policy.done(req, server, False)
+            policy.request_ended(req, server, False)
             return
         if self.queues[server]:
             self._start(policy, self.queues[server].popleft(), server)
         else:
             self.busy[server] -= 1
-        if req.at >= WARM_UP_S:
-            self.took.append(self.now - req.at)
-            self.crossed += self.domain(req.entry) != self.domain(server)
-        policy.done(req, server, True)
+        if req.arrival_s >= WARM_UP_S:
+            self.latencies_s.append(self.now - req.arrival_s)
+            self.cross_domain += self.failure_domain(
+                req.entry
+            ) != self.failure_domain(server)
+        policy.request_ended(req, server, True)
 
     def refuse(self, req: Request) -> None:
         """Count a refusal, which is answered at once."""
-        self.refused += req.at >= WARM_UP_S
+        self.refused += req.arrival_s >= WARM_UP_S
 
 
 class Policy:
     """What a policy may do at each event."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.sizes = world.deployment
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        self.sizes = simulation.deployment
         self.servers = list(range(self.sizes.servers))
         self.running = True
 
-    def tick(self) -> None:
+    def update_reports(self) -> None:
         """Take in load reports."""
 
-    def stop(self) -> None:
+    def end_arrivals(self) -> None:
         """Note that no request comes any more."""
         self.running = False
 
@@ -170,18 +172,18 @@
         """Place a request."""
         raise NotImplementedError
 
-    def done(self, req: Request, server: int, good: bool) -> None:
+    def request_ended(self, req: Request, server: int, good: bool) -> None:
         """Note that a request ended."""
 
-    def failed(self, req: Request, server: int) -> None:
+    def connection_refused(self, req: Request, server: int) -> None:
         """Try a request elsewhere: it certainly did not run."""
         self.arrive(req)
 
-    def server_gone(self, server: int) -> None:
+    def server_lease_ended(self, server: int) -> None:
         """Note that a server's lease ended."""
         self.servers.remove(server)
 
-    def entry_gone(self) -> None:
+    def entry_lost(self) -> None:
         """Note that entry 0 died."""
 
 
@@ -190,61 +192,61 @@
 
     def arrive(self, req: Request) -> None:
         """Place a request."""
-        server = self.world.rng.choice(self.servers)
-        self.world.serve(self, req, server)
+        server = self.simulation.rng.choice(self.servers)
+        self.simulation.serve(self, req, server)
 
 
 class RoundRobin(Policy):
     """Each entry goes round the servers."""
 
-    def __init__(self, world: World) -> None:
-        super().__init__(world)
+    def __init__(self, simulation: Simulation) -> None:
+        super().__init__(simulation)
         size = self.sizes.entries
-        self._next = [world.rng.randrange(999) for _ in range(size)]
+        self._next = [simulation.rng.randrange(999) for _ in range(size)]
 
     def arrive(self, req: Request) -> None:
         """Place a request."""
         self._next[req.entry] += 1
         at = self._next[req.entry] % len(self.servers)
-        self.world.serve(self, req, self.servers[at])
+        self.simulation.serve(self, req, self.servers[at])
 
 
 class TwoChoices(Policy):
     """The less loaded of two servers, by reports and own requests."""
 
-    def __init__(self, world: World) -> None:
-        super().__init__(world)
+    def __init__(self, simulation: Simulation) -> None:
+        super().__init__(simulation)
         self._reports = [0.0] * self.sizes.servers
         self._mine = [
             [0] * self.sizes.servers for _ in range(self.sizes.entries)
         ]
 
-    def tick(self) -> None:
+    def update_reports(self) -> None:
         """Take in load reports."""
-        world = self.world
-        late = world.now >= world.fault_at
-        if not (late and world.case == "reports-frozen"):
+        simulation = self.simulation
+        late = simulation.now >= simulation.fault_at
+        if not (late and simulation.case == "reports-frozen"):
             for server in self.servers:
-                load = world.busy[server] + len(world.queues[server])
+                load = simulation.busy[server] + len(simulation.queues[server])
                 self._reports[server] = load
-            if late and world.case == "reports-lie":
+            if late and simulation.case == "reports-lie":
                 self._reports[0] = 0.0
         if self.running:
-            world.later(REPORT_S, self.tick)
+            simulation.call_later(REPORT_S, self.update_reports)
 
     def arrive(self, req: Request) -> None:
         """Place a request."""
-        pair = self.world.rng.sample(self.servers, 2)
+        pair = self.simulation.rng.sample(self.servers, 2)
         mine = self._mine[req.entry]
         server = min(pair, key=lambda one: max(self._reports[one], mine[one]))
         mine[server] += 1
-        self.world.serve(self, req, server)
+        self.simulation.serve(self, req, server)
 
-    def done(self, req: Request, server: int, good: bool) -> None:
+    def request_ended(self, req: Request, server: int, good: bool) -> None:
         """Note that a request ended."""
         self._mine[req.entry][server] -= 1
 
-    def failed(self, req: Request, server: int) -> None:
+    def connection_refused(self, req: Request, server: int) -> None:
         """Try a request elsewhere."""
         self._mine[req.entry][server] -= 1
         self.arrive(req)
@@ -253,8 +255,8 @@
 class Partitioned(Policy):
     """Slots split among queues, each used by its own entry alone."""
 
-    def __init__(self, world: World) -> None:
-        super().__init__(world)
+    def __init__(self, simulation: Simulation) -> None:
+        super().__init__(simulation)
         self._free: list[list[int]] = [[] for _ in range(self.sizes.entries)]
         self._waiting: list[deque[Request]] = [
             deque() for _ in range(self.sizes.entries)
@@ -272,38 +274,38 @@
         """Place a request."""
         entry = self._entry_of(req)
         if self._free[entry]:
-            self.world.serve(self, req, self._free[entry].pop())
+            self.simulation.serve(self, req, self._free[entry].pop())
             return
         self._waiting[entry].append(req)
 
-    def done(self, req: Request, server: int, good: bool) -> None:
+    def request_ended(self, req: Request, server: int, good: bool) -> None:
         """Hand the slot to the entry's next request."""
         entry = self._entry_of(req)
-        if self.world.dead[server]:
+        if self.simulation.lost_servers[server]:
             return
         waiting = self._waiting[entry]
         while waiting:
             following = waiting.popleft()
-            if self.world.now - following.at > PATIENCE_S:
-                self.world.refuse(following)
+            if self.simulation.now - following.arrival_s > PATIENCE_S:
+                self.simulation.refuse(following)
                 continue
-            self.world.serve(self, following, server)
+            self.simulation.serve(self, following, server)
             return
         self._free[entry].append(server)
 
-    def server_gone(self, server: int) -> None:
+    def server_lease_ended(self, server: int) -> None:
         """Note that a server's lease ended."""
         for free in self._free:
             free[:] = [one for one in free if one != server]
 
-    def entry_gone(self) -> None:
+    def entry_lost(self) -> None:
         """Give the dead entry's queue to no one; its slots idle until back."""
         for req in self._waiting[0]:
-            self.world.refuse(req)
+            self.simulation.refuse(req)
         self._waiting[0].clear()
 
 
-class Shares(Partitioned):
+class SlotShares(Partitioned):
     """Each entry holds a share of the slots of each server."""
 
     def _split(self) -> None:
@@ -327,14 +329,14 @@
         return spread % owners
 
 
-class Granted(Policy):
+class GrantedSlots(Policy):
     """One entry grants slots to the others; a short queue by arrival."""
 
-    keeps = False
+    reuses_slots = False
     is_central = False
 
-    def __init__(self, world: World) -> None:
-        super().__init__(world)
+    def __init__(self, simulation: Simulation) -> None:
+        super().__init__(simulation)
         self._used = [0] * self.sizes.servers
         self._waiting: deque[Request] = deque()
         self._failures = [0] * self.sizes.servers
@@ -347,15 +349,15 @@
         self._total = self.sizes.servers * self.sizes.slots
         self._out = 0
 
-    def _hop_s(self, entry: int) -> float:
+    def _message_delay_s(self, entry: int) -> float:
         if self.is_central:
             return 0.0
         if entry != self._grantor:
-            self.world.messages += 1
+            self.simulation.messages += 1
         return (
             0.0
             if entry == self._grantor
-            else self.world.hop_s(entry, self._grantor)
+            else self.simulation.message_delay_s(entry, self._grantor)
         )
 
     def arrive(self, req: Request) -> None:
@@ -363,13 +365,15 @@
         kept = self._kept[req.entry]
         if kept:
             server, _ = kept.pop()
-            self.world.serve(self, req, server)
+            self.simulation.serve(self, req, server)
             return
-        self.world.later(self._hop_s(req.entry), self._asked, req)
+        self.simulation.call_later(
+            self._message_delay_s(req.entry), self._asked, req
+        )
 
     def _asked(self, req: Request) -> None:
         if self._absent:
-            self.world.refuse(req)
+            self.simulation.refuse(req)
             return
         self._waiting.append(req)
         self._grant()
@@ -377,8 +381,8 @@
     def _grant(self) -> None:
         while self._waiting:
             req = self._waiting[0]
-            if self.world.now - req.at > PATIENCE_S:
-                self.world.refuse(self._waiting.popleft())
+            if self.simulation.now - req.arrival_s > PATIENCE_S:
+                self.simulation.refuse(self._waiting.popleft())
                 continue
             server = self._pick(req)
             if server is None:
@@ -386,8 +390,10 @@
             self._waiting.popleft()
             self._used[server] += 1
             self._out += 1
-            delay = self._hop_s(req.entry)
-            self.world.later(delay, self.world.serve, self, req, server)
+            delay = self._message_delay_s(req.entry)
+            self.simulation.call_later(
+                delay, self.simulation.serve, self, req, server
+            )
 
     def _pick(self, req: Request) -> int | None:
         free = [
@@ -397,8 +403,10 @@
         ]
         if not free:
             return None
-        domain = self.world.domain(req.entry)
-        near = [one for one in free if self.world.domain(one) == domain]
+        domain = self.simulation.failure_domain(req.entry)
+        near = [
+            one for one in free if self.simulation.failure_domain(one) == domain
+        ]
         return min(near or free, key=lambda one: self._used[one])
 
     def _limit(self, server: int) -> int:
@@ -409,23 +417,25 @@
             return 1
         return int(self.sizes.slots)
 
-    def done(self, req: Request, server: int, good: bool) -> None:
+    def request_ended(self, req: Request, server: int, good: bool) -> None:
         """Give the slot back, or keep it for the next request."""
-        took = self.world.now - req.at
+        took = self.simulation.now - req.arrival_s
         self._slow[server] += 0.1 * (min(took, 1.0) - self._slow[server])
         calm = self._out < 0.6 * self._total
-        if self.keeps and calm and good and not self._waiting:
-            self._kept[req.entry].append((server, self.world.now))
-            self.world.later(KEEP_S, self._lapse, req.entry, server)
+        if self.reuses_slots and calm and good and not self._waiting:
+            self._kept[req.entry].append((server, self.simulation.now))
+            self.simulation.call_later(KEEP_S, self._lapse, req.entry, server)
             return
-        self.world.later(self._hop_s(req.entry), self._released, server, good)
+        self.simulation.call_later(
+            self._message_delay_s(req.entry), self._released, server, good
+        )
 
     def _lapse(self, entry: int, server: int) -> None:
         for at, (kept, since) in enumerate(self._kept[entry]):
-            if kept == server and self.world.now - since >= KEEP_S - 1e-9:
+            if kept == server and self.simulation.now - since >= KEEP_S - 1e-9:
                 del self._kept[entry][at]
-                self.world.later(
-                    self._hop_s(entry), self._released, server, True
+                self.simulation.call_later(
+                    self._message_delay_s(entry), self._released, server, True
                 )
                 return
 
@@ -439,20 +449,22 @@
         if not self._absent:
             self._grant()
 
-    def failed(self, req: Request, server: int) -> None:
+    def connection_refused(self, req: Request, server: int) -> None:
         """Give the slot back and ask again."""
-        self.world.later(self._hop_s(req.entry), self._released, server, False)
+        self.simulation.call_later(
+            self._message_delay_s(req.entry), self._released, server, False
+        )
         self.arrive(req)
 
-    def entry_gone(self) -> None:
+    def entry_lost(self) -> None:
         """Lose the grantor: asks are refused until another has taken over."""
         if self.is_central:
             return
         for req in self._waiting:
-            self.world.refuse(req)
+            self.simulation.refuse(req)
         self._waiting.clear()
         self._absent = True
-        self.world.later(TAKEOVER_S, self._taken_over)
+        self.simulation.call_later(TAKEOVER_S, self._taken_over)
 
     def _taken_over(self) -> None:
         self._absent = False
@@ -466,7 +478,9 @@
         ]
         for server, count in zip(self.servers, withheld, strict=True):
             self._used[server] += count
-        self.world.later(RESTART_S - TAKEOVER_S, self._restore, withheld)
+        self.simulation.call_later(
+            RESTART_S - TAKEOVER_S, self._restore, withheld
+        )
 
     def _restore(self, withheld: list[int]) -> None:
         for server, count in enumerate(withheld):
@@ -474,25 +488,25 @@
         self._grant()
 
 
-class Central(Granted):
+class CentralQueue(GrantedSlots):
     """One queue over all slots, without delays: the bound."""
 
     is_central = True
 
 
-class Kept(Granted):
+class GrantedSlotsReused(GrantedSlots):
     """Granted slots that an entry keeps a while when the pool is calm."""
 
-    keeps = True
+    reuses_slots = True
 
 
 POLICIES: dict[str, type[Policy]] = {
-    "central": Central,
+    "central": CentralQueue,
     "random": Random,
     "round-robin": RoundRobin,
     "two-choices": TwoChoices,
     "fixed-owner": FixedOwner,
-    "shares": Shares,
-    "granted": Granted,
-    "granted-kept": Kept,
+    "shares": SlotShares,
+    "granted": GrantedSlots,
+    "granted-kept": GrantedSlotsReused,
 }
