--- a/bench/queue_model_policies.py
+++ b/bench/queue_model_policies.py
@@ -1,4 +1,4 @@
-"""Placement policies of the queue model, and the world they act in."""
+"""Placement policies of the queueing model and the simulation they run in."""
 
 from collections import deque
 from collections.abc import Iterator
@@ -10,20 +10,22 @@
 
 WARM_UP_S = 3.0
 REPORT_S = 0.1
-# A lost server refuses connections at once; one that is frozen would not.
-FAILURE_S = 0.002
+# Delay until a lost server has refused a connection. A frozen server would not
+# refuse it.
+CONNECTION_REFUSED_S = 0.002
 LEASE_S = 4.0
-PATIENCE_S = 1.0
+MAX_WAIT_S = 1.0
 SLOW_FACTOR = 10.0
-# Measured by `bench.placement_failover`.
+# Seconds without a grantor after it is lost, measured by
+# `bench.placement_failover`.
 TAKEOVER_S = 1.4
 RESTART_S = 5.0
-EJECT_AFTER = 3
-KEEP_S = 0.05
+EJECT_AFTER_FAILURES = 3
+REUSE_S = 0.05
 
 
 class Request(NamedTuple):
-    """A request: when it comes, at which entry, how long it runs."""
+    """A request: its arrival time, the entry that receives it, its run time."""
 
     number: int
     arrival_s: float
@@ -32,13 +34,13 @@
 
 
 class Simulation:
-    """Time, servers and what is counted.
+    """A discrete-event simulation of entries and servers, with its counters.
 
     Args:
         deployment: Sizes and delays.
-        case: Which fault happens at half time.
-        rng: Source of the policies' choices.
-        until_s: Seconds of arrivals.
+        case: The fault that occurs at half of `until_s`.
+        rng: Source of the policies' random choices.
+        until_s: Time of the last arrivals in seconds.
     """
 
     def __init__(
@@ -62,7 +64,7 @@
         self._order = itertools.count()
 
     def call_later(self, delay_s: float, call: Any, *args: Any) -> None:
-        """Call after a delay."""
+        """Schedule a call after a delay."""
         item = (self.now + delay_s, next(self._order), call, args)
         heapq.heappush(self._events, item)
 
@@ -70,13 +72,15 @@
         """Return the failure domain of an entry or server."""
         return number % 2
 
-    def message_delay_s(self, one: int, other: int) -> float:
-        """Return the delay of a message between two instances."""
-        near = self.failure_domain(one) == self.failure_domain(other)
-        return 0.0001 if near else float(self.deployment.delay_s)
+    def message_delay_s(self, sender: int, receiver: int) -> float:
+        """Return the one-way delay of a message in seconds."""
+        same_domain = self.failure_domain(sender) == self.failure_domain(
+            receiver
+        )
+        return 0.0001 if same_domain else float(self.deployment.delay_s)
 
     def run(self, policy: "Policy", requests: Iterator[Request]) -> None:
-        """Run all requests through a policy."""
+        """Simulate all requests under a policy."""
         self.call_later(self.fault_at, self._fail, policy)
         self.call_later(0.0, policy.update_reports)
         pending = next(requests, None)
@@ -94,7 +98,7 @@
             call(*args)
 
     def _arrive(self, policy: "Policy", req: Request) -> None:
-        # Callers of a lost entry use the next one of their look-up.
+        # Callers of a lost entry use the next entry of their look-up.
         if self.is_entry_lost and req.entry == 0:
             others = self.deployment.entries - 1
             req = req._replace(entry=1 + req.number % others)
@@ -115,8 +119,10 @@
     def serve(self, policy: "Policy", req: Request, server: int) -> None:
         """Send a request to a server; it queues there if all slots are busy."""
         if self.lost_servers[server]:
-            # Nothing was sent: the connection was refused.
-            self.call_later(FAILURE_S, policy.connection_refused, req, server)
+            # The connection is refused, so the request certainly did not run.
+            self.call_later(
+                CONNECTION_REFUSED_S, policy.connection_refused, req, server
+            )
             return
         slots = self.deployment.slots
         if self.busy[server] >= slots:
@@ -127,8 +133,8 @@
         self._start(policy, req, server)
 
     def _start(self, policy: "Policy", req: Request, server: int) -> None:
-        slow = self.case == "slow-server" and self.now >= self.fault_at
-        factor = SLOW_FACTOR if slow and server == 0 else 1.0
+        is_slow = self.case == "slow-server" and self.now >= self.fault_at
+        factor = SLOW_FACTOR if is_slow and server == 0 else 1.0
         self.call_later(req.service_s * factor, self._end, policy, req, server)
 
     def _end(self, policy: "Policy", req: Request, server: int) -> None:
@@ -148,47 +154,47 @@
         policy.request_ended(req, server, True)
 
     def refuse(self, req: Request) -> None:
-        """Count a refusal, which is answered at once."""
+        """Count a refusal, unless the request came during warm-up."""
         self.refused += req.arrival_s >= WARM_UP_S
 
 
 class Policy:
-    """What a policy may do at each event."""
+    """A placement policy: its reactions to the events of a simulation."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
-        self.sizes = simulation.deployment
-        self.servers = list(range(self.sizes.servers))
+        self.deployment = simulation.deployment
+        self.servers = list(range(self.deployment.servers))
         self.running = True
 
     def update_reports(self) -> None:
-        """Take in load reports."""
+        """Update the load reports of the servers."""
 
     def end_arrivals(self) -> None:
-        """Note that no request comes any more."""
+        """Handle the end of arrivals: no request follows."""
         self.running = False
 
     def arrive(self, req: Request) -> None:
         """Place a request."""
         raise NotImplementedError
 
-    def request_ended(self, req: Request, server: int, good: bool) -> None:
-        """Note that a request ended."""
+    def request_ended(self, req: Request, server: int, succeeded: bool) -> None:
+        """Handle the end of a request at a server."""
 
     def connection_refused(self, req: Request, server: int) -> None:
-        """Try a request elsewhere: it certainly did not run."""
+        """Place a request again that a lost server did not accept."""
         self.arrive(req)
 
     def server_lease_ended(self, server: int) -> None:
-        """Note that a server's lease ended."""
+        """Handle the end of a lost server's lease."""
         self.servers.remove(server)
 
     def entry_lost(self) -> None:
-        """Note that entry 0 died."""
+        """Handle the loss of entry 0."""
 
 
 class Random(Policy):
-    """A server at random; it queues there."""
+    """Chooses a server at random, where the request may queue."""
 
     def arrive(self, req: Request) -> None:
         """Place a request."""
@@ -197,69 +203,80 @@
 
 
 class RoundRobin(Policy):
-    """Each entry goes round the servers."""
+    """Each entry uses the servers in turn."""
 
     def __init__(self, simulation: Simulation) -> None:
         super().__init__(simulation)
-        size = self.sizes.entries
+        size = self.deployment.entries
         self._next = [simulation.rng.randrange(999) for _ in range(size)]
 
     def arrive(self, req: Request) -> None:
         """Place a request."""
         self._next[req.entry] += 1
-        at = self._next[req.entry] % len(self.servers)
-        self.simulation.serve(self, req, self.servers[at])
+        position = self._next[req.entry] % len(self.servers)
+        self.simulation.serve(self, req, self.servers[position])
 
 
 class TwoChoices(Policy):
-    """The less loaded of two servers, by reports and own requests."""
+    """Chooses the less loaded of two random servers.
+
+    Load is the larger of the last report and the entry's requests in flight.
+    """
 
     def __init__(self, simulation: Simulation) -> None:
         super().__init__(simulation)
-        self._reports = [0.0] * self.sizes.servers
-        self._mine = [
-            [0] * self.sizes.servers for _ in range(self.sizes.entries)
+        self._reports = [0.0] * self.deployment.servers
+        self._in_flight = [
+            [0] * self.deployment.servers
+            for _ in range(self.deployment.entries)
         ]
 
     def update_reports(self) -> None:
-        """Take in load reports."""
+        """Update the load reports of the servers."""
         simulation = self.simulation
-        late = simulation.now >= simulation.fault_at
-        if not (late and simulation.case == "reports-frozen"):
+        fault_active = simulation.now >= simulation.fault_at
+        if not (fault_active and simulation.case == "reports-frozen"):
             for server in self.servers:
                 load = simulation.busy[server] + len(simulation.queues[server])
                 self._reports[server] = load
-            if late and simulation.case == "reports-lie":
+            if fault_active and simulation.case == "reports-lie":
                 self._reports[0] = 0.0
         if self.running:
             simulation.call_later(REPORT_S, self.update_reports)
 
     def arrive(self, req: Request) -> None:
         """Place a request."""
-        pair = self.simulation.rng.sample(self.servers, 2)
-        mine = self._mine[req.entry]
-        server = min(pair, key=lambda one: max(self._reports[one], mine[one]))
-        mine[server] += 1
+        candidates = self.simulation.rng.sample(self.servers, 2)
+        in_flight = self._in_flight[req.entry]
+        server = min(
+            candidates,
+            key=lambda candidate: max(
+                self._reports[candidate], in_flight[candidate]
+            ),
+        )
+        in_flight[server] += 1
         self.simulation.serve(self, req, server)
 
-    def request_ended(self, req: Request, server: int, good: bool) -> None:
-        """Note that a request ended."""
-        self._mine[req.entry][server] -= 1
+    def request_ended(self, req: Request, server: int, succeeded: bool) -> None:
+        """Handle the end of a request at a server."""
+        self._in_flight[req.entry][server] -= 1
 
     def connection_refused(self, req: Request, server: int) -> None:
-        """Try a request elsewhere."""
-        self._mine[req.entry][server] -= 1
+        """Place a request again that a lost server did not accept."""
+        self._in_flight[req.entry][server] -= 1
         self.arrive(req)
 
 
 class Partitioned(Policy):
-    """Slots split among queues, each used by its own entry alone."""
+    """Base of policies in which each slot belongs to one entry's queue."""
 
     def __init__(self, simulation: Simulation) -> None:
         super().__init__(simulation)
-        self._free: list[list[int]] = [[] for _ in range(self.sizes.entries)]
+        self._free: list[list[int]] = [
+            [] for _ in range(self.deployment.entries)
+        ]
         self._waiting: list[deque[Request]] = [
-            deque() for _ in range(self.sizes.entries)
+            deque() for _ in range(self.deployment.entries)
         ]
         self._owner: dict[int, list[int]] = {}
         self._split()
@@ -278,76 +295,80 @@
             return
         self._waiting[entry].append(req)
 
-    def request_ended(self, req: Request, server: int, good: bool) -> None:
-        """Hand the slot to the entry's next request."""
+    def request_ended(self, req: Request, server: int, succeeded: bool) -> None:
+        """Give the slot to the next request in the entry's queue."""
         entry = self._entry_of(req)
         if self.simulation.lost_servers[server]:
             return
         waiting = self._waiting[entry]
         while waiting:
-            following = waiting.popleft()
-            if self.simulation.now - following.arrival_s > PATIENCE_S:
-                self.simulation.refuse(following)
+            next_req = waiting.popleft()
+            if self.simulation.now - next_req.arrival_s > MAX_WAIT_S:
+                self.simulation.refuse(next_req)
                 continue
-            self.simulation.serve(self, following, server)
+            self.simulation.serve(self, next_req, server)
             return
         self._free[entry].append(server)
 
     def server_lease_ended(self, server: int) -> None:
-        """Note that a server's lease ended."""
+        """Remove the free slots of a server whose lease ended."""
         for free in self._free:
-            free[:] = [one for one in free if one != server]
+            free[:] = [candidate for candidate in free if candidate != server]
 
     def entry_lost(self) -> None:
-        """Give the dead entry's queue to no one; its slots idle until back."""
+        """Refuse the requests queued at the lost entry; its slots stay idle."""
         for req in self._waiting[0]:
             self.simulation.refuse(req)
         self._waiting[0].clear()
 
 
 class SlotShares(Partitioned):
-    """Each entry holds a share of the slots of each server."""
+    """Each entry has a share of the slots of each server."""
 
     def _split(self) -> None:
-        entries = itertools.cycle(range(self.sizes.entries))
-        for _ in range(self.sizes.slots):
+        entries = itertools.cycle(range(self.deployment.entries))
+        for _ in range(self.deployment.slots):
             for server in self.servers:
                 self._free[next(entries)].append(server)
 
 
 class FixedOwner(Partitioned):
-    """Each server is used through one entry, found at random."""
+    """All slots of a server belong to one entry, chosen by request hash."""
 
     def _split(self) -> None:
         for server in self.servers:
-            owner = server % self.sizes.entries
-            self._free[owner] += [server] * self.sizes.slots
+            owner = server % self.deployment.entries
+            self._free[owner] += [server] * self.deployment.slots
 
     def _entry_of(self, req: Request) -> int:
-        owners = min(self.sizes.entries, self.sizes.servers)
-        spread = req.number * 2654435761 % 2**32
-        return spread % owners
+        owners = min(self.deployment.entries, self.deployment.servers)
+        req_hash = req.number * 2654435761 % 2**32
+        return req_hash % owners
 
 
 class GrantedSlots(Policy):
-    """One entry grants slots to the others; a short queue by arrival."""
+    """One entry, the grantor, grants slots to all in the order of requests.
+
+    `reuses_slots` lets an entry reuse a granted slot, `is_central` removes the
+    message delays and the loss of the grantor.
+    """
 
     reuses_slots = False
     is_central = False
 
     def __init__(self, simulation: Simulation) -> None:
         super().__init__(simulation)
-        self._used = [0] * self.sizes.servers
+        self._used = [0] * self.deployment.servers
         self._waiting: deque[Request] = deque()
-        self._failures = [0] * self.sizes.servers
-        self._slow = [0.0] * self.sizes.servers
+        self._failures = [0] * self.deployment.servers
+        self._mean_latency_s = [0.0] * self.deployment.servers
         self._grantor = 0
-        self._absent = False
-        self._kept: list[list[tuple[int, float]]] = [
-            [] for _ in range(self.sizes.entries)
+        self._grantor_lost = False
+        self._reusable: list[list[tuple[int, float]]] = [
+            [] for _ in range(self.deployment.entries)
         ]
-        self._total = self.sizes.servers * self.sizes.slots
-        self._out = 0
+        self._slot_total = self.deployment.servers * self.deployment.slots
+        self._used_total = 0
 
     def _message_delay_s(self, entry: int) -> float:
         if self.is_central:
@@ -361,18 +382,18 @@
         )
 
     def arrive(self, req: Request) -> None:
-        """Use a kept slot or ask for one."""
-        kept = self._kept[req.entry]
-        if kept:
-            server, _ = kept.pop()
+        """Use a slot kept for reuse, or request one from the grantor."""
+        reusable = self._reusable[req.entry]
+        if reusable:
+            server, _ = reusable.pop()
             self.simulation.serve(self, req, server)
             return
         self.simulation.call_later(
-            self._message_delay_s(req.entry), self._asked, req
+            self._message_delay_s(req.entry), self._receive_request, req
         )
 
-    def _asked(self, req: Request) -> None:
-        if self._absent:
+    def _receive_request(self, req: Request) -> None:
+        if self._grantor_lost:
             self.simulation.refuse(req)
             return
         self._waiting.append(req)
@@ -381,7 +402,7 @@
     def _grant(self) -> None:
         while self._waiting:
             req = self._waiting[0]
-            if self.simulation.now - req.arrival_s > PATIENCE_S:
+            if self.simulation.now - req.arrival_s > MAX_WAIT_S:
                 self.simulation.refuse(self._waiting.popleft())
                 continue
             server = self._pick(req)
@@ -389,7 +410,7 @@
                 return
             self._waiting.popleft()
             self._used[server] += 1
-            self._out += 1
+            self._used_total += 1
             delay = self._message_delay_s(req.entry)
             self.simulation.call_later(
                 delay, self.simulation.serve, self, req, server
@@ -404,98 +425,125 @@
         if not free:
             return None
         domain = self.simulation.failure_domain(req.entry)
-        near = [
-            one for one in free if self.simulation.failure_domain(one) == domain
+        same_domain = [
+            candidate
+            for candidate in free
+            if self.simulation.failure_domain(candidate) == domain
         ]
-        return min(near or free, key=lambda one: self._used[one])
+        return min(
+            same_domain or free, key=lambda candidate: self._used[candidate]
+        )
 
     def _limit(self, server: int) -> int:
-        if self._failures[server] >= EJECT_AFTER:
+        if self._failures[server] >= EJECT_AFTER_FAILURES:
             return 0
-        typical = sorted(self._slow)[len(self._slow) // 2]
-        if self._slow[server] > 4 * max(typical, 0.001):
+        median_latency_s = sorted(self._mean_latency_s)[
+            len(self._mean_latency_s) // 2
+        ]
+        if self._mean_latency_s[server] > 4 * max(median_latency_s, 0.001):
             return 1
-        return int(self.sizes.slots)
-
-    def request_ended(self, req: Request, server: int, good: bool) -> None:
-        """Give the slot back, or keep it for the next request."""
-        took = self.simulation.now - req.arrival_s
-        self._slow[server] += 0.1 * (min(took, 1.0) - self._slow[server])
-        calm = self._out < 0.6 * self._total
-        if self.reuses_slots and calm and good and not self._waiting:
-            self._kept[req.entry].append((server, self.simulation.now))
-            self.simulation.call_later(KEEP_S, self._lapse, req.entry, server)
+        return int(self.deployment.slots)
+
+    def request_ended(self, req: Request, server: int, succeeded: bool) -> None:
+        """Release the slot, or keep it for the entry's next request."""
+        latency_s = self.simulation.now - req.arrival_s
+        self._mean_latency_s[server] += 0.1 * (
+            min(latency_s, 1.0) - self._mean_latency_s[server]
+        )
+        is_lightly_loaded = self._used_total < 0.6 * self._slot_total
+        if (
+            self.reuses_slots
+            and is_lightly_loaded
+            and succeeded
+            and not self._waiting
+        ):
+            self._reusable[req.entry].append((server, self.simulation.now))
+            self.simulation.call_later(
+                REUSE_S, self._end_reuse, req.entry, server
+            )
             return
         self.simulation.call_later(
-            self._message_delay_s(req.entry), self._released, server, good
+            self._message_delay_s(req.entry),
+            self._receive_release,
+            server,
+            succeeded,
         )
 
-    def _lapse(self, entry: int, server: int) -> None:
-        for at, (kept, since) in enumerate(self._kept[entry]):
-            if kept == server and self.simulation.now - since >= KEEP_S - 1e-9:
-                del self._kept[entry][at]
+    def _end_reuse(self, entry: int, server: int) -> None:
+        for position, (reusable, since) in enumerate(self._reusable[entry]):
+            if (
+                reusable == server
+                and self.simulation.now - since >= REUSE_S - 1e-9
+            ):
+                del self._reusable[entry][position]
                 self.simulation.call_later(
-                    self._message_delay_s(entry), self._released, server, True
+                    self._message_delay_s(entry),
+                    self._receive_release,
+                    server,
+                    True,
                 )
                 return
 
-    def _released(self, server: int, good: bool) -> None:
+    def _receive_release(self, server: int, succeeded: bool) -> None:
         self._used[server] -= 1
-        self._out -= 1
-        if good:
+        self._used_total -= 1
+        if succeeded:
             self._failures[server] = 0
         else:
             self._failures[server] += 1
-        if not self._absent:
+        if not self._grantor_lost:
             self._grant()
 
     def connection_refused(self, req: Request, server: int) -> None:
-        """Give the slot back and ask again."""
+        """Release the slot and request another one."""
         self.simulation.call_later(
-            self._message_delay_s(req.entry), self._released, server, False
+            self._message_delay_s(req.entry),
+            self._receive_release,
+            server,
+            False,
         )
         self.arrive(req)
 
     def entry_lost(self) -> None:
-        """Lose the grantor: asks are refused until another has taken over."""
+        """Lose the grantor; requests are refused until another takes over."""
         if self.is_central:
             return
         for req in self._waiting:
             self.simulation.refuse(req)
         self._waiting.clear()
-        self._absent = True
-        self.simulation.call_later(TAKEOVER_S, self._taken_over)
+        self._grantor_lost = True
+        self.simulation.call_later(TAKEOVER_S, self._take_over)
 
-    def _taken_over(self) -> None:
-        self._absent = False
+    def _take_over(self) -> None:
+        self._grantor_lost = False
         self._grantor = 1
-        # The dead one used a third of a server's slots at most; those that
-        # it may still use stay unused until it is back and says otherwise.
-        own = max(1, self.sizes.slots // 3)
+        # The lost entry used a third of a server's slots at most. Slots that it
+        # may still use are withheld until it has restarted and reports its use.
+        max_used = max(1, self.deployment.slots // 3)
         withheld = [
-            max(0, min(own, self._limit(server) - self._used[server]))
+            max(0, min(max_used, self._limit(server) - self._used[server]))
             for server in self.servers
         ]
         for server, count in zip(self.servers, withheld, strict=True):
             self._used[server] += count
         self.simulation.call_later(
-            RESTART_S - TAKEOVER_S, self._restore, withheld
+            RESTART_S - TAKEOVER_S, self._restore_withheld, withheld
         )
 
-    def _restore(self, withheld: list[int]) -> None:
+    def _restore_withheld(self, withheld: list[int]) -> None:
         for server, count in enumerate(withheld):
             self._used[server] -= count
         self._grant()
 
 
 class CentralQueue(GrantedSlots):
-    """One queue over all slots, without delays: the bound."""
+    """One queue for all slots without message delays: the lower bound."""
 
     is_central = True
 
 
 class GrantedSlotsReused(GrantedSlots):
-    """Granted slots that an entry keeps a while when the pool is calm."""
+    """Granted slots, which an entry keeps briefly while the load is low."""
 
     reuses_slots = True
 
