--- a/bench/capacity/distribution.py
+++ b/bench/capacity/distribution.py
@@ -12,9 +12,12 @@
 
 def measure() -> list[slopes.Slope]:
     """Return the slopes; both ends run in one process."""
-    idle = {n: distribution.cost(n, _SECONDS, 0, _SEED) for n in _ENTRIES}
+    idle = {
+        n: distribution.measure_cost(n, _SECONDS, 0, _SEED) for n in _ENTRIES
+    }
     changing = {
-        n: distribution.cost(_ENTRIES[1], _SECONDS, n, _SEED) for n in _CHANGES
+        n: distribution.measure_cost(_ENTRIES[1], _SECONDS, n, _SEED)
+        for n in _CHANGES
     }
     return [
         slopes.fit(
--- a/bench/client_blocks.py
+++ b/bench/client_blocks.py
@@ -34,7 +34,7 @@
     change_us: float
 
 
-def lines(count, seed):
+def block_lines(count, seed):
     """Yield a file of `count` client blocks at random sites."""
     rng = random.Random(seed)
     for number in range(SITES):
@@ -69,7 +69,7 @@
         path = str(pathlib.Path(folder, "table"))
         source = pathlib.Path(folder, "source")
         with source.open("w", encoding="utf-8") as file:
-            file.writelines(f"{line}\n" for line in lines(count, seed))
+            file.writelines(f"{line}\n" for line in block_lines(count, seed))
         began = time.process_time()
         blocks.build(str(source), path)
         parse_s = time.process_time() - began
--- a/bench/distribution.py
+++ b/bench/distribution.py
@@ -31,7 +31,7 @@
 from tests.support import fake_distribution
 from tests.support import loopback
 
-WAYS = (
+MODE_COMBINATIONS = (
     ("push",),
     ("pull",),
     ("piggyback",),
@@ -48,7 +48,7 @@
 _TCP_INFO_BYTES = 136
 
 
-class Spread(NamedTuple):
+class PropagationTimes(NamedTuple):
     """How long changes took until in force everywhere, in seconds."""
 
     median: float
@@ -58,9 +58,9 @@
     bytes_per_s: float
 
 
-def in_force(
+def measure_propagation(
     seed: int, entries: int, ways: tuple[str, ...], loss: float, runs: int
-) -> Spread:
+) -> PropagationTimes:
     """Return the seconds until every entry has a change in force.
 
     The costs are those of an idle entry, for questions and answers alone.
@@ -90,7 +90,7 @@
         took = net.run_until(lambda net=net: net.all_at(2), PATIENCE_S)
         taken.append(PATIENCE_S if took is None else took)
     taken.sort()
-    return Spread(
+    return PropagationTimes(
         statistics.median(taken),
         taken[min(len(taken) - 1, int(len(taken) * 0.95))],
         taken[-1],
@@ -222,7 +222,7 @@
     )
 
 
-def cost(entries: int, seconds: float, changes: int, seed: int) -> Cost:
+def measure_cost(entries: int, seconds: float, changes: int, seed: int) -> Cost:
     """Return what an entry costs with so many changes in so many seconds."""
     return trio.run(_measure, entries, seconds, changes, seed)
 
@@ -257,9 +257,9 @@
     if part != "cost":
         click.echo(f"seconds until in force at {entries} entries, {runs} runs")
         click.echo("ways | lost | median | p95 | worst | asks/s | bytes/s")
-        for ways in WAYS if all_ways else WAYS[-1:]:
+        for ways in MODE_COMBINATIONS if all_ways else MODE_COMBINATIONS[-1:]:
             for loss in LOSSES:
-                got = in_force(seed, entries, ways, loss, runs)
+                got = measure_propagation(seed, entries, ways, loss, runs)
                 click.echo(
                     f"{' + '.join(ways)} | {loss:.0%} | {got.median:.2f} |"
                     f" {got.p95:.2f} | {got.worst:.2f} |"
@@ -270,7 +270,7 @@
         click.echo("entries | changes | CPU % | sent B/s | received B/s")
         for count in farm:
             for changes in (0, 10):
-                each = cost(count, seconds, changes, seed)
+                each = measure_cost(count, seconds, changes, seed)
                 click.echo(
                     f"{count} | {changes} | {each.cpu * 100:.3f} |"
                     f" {each.sent:.0f} | {each.received:.0f}"
--- a/bench/link_model.py
+++ b/bench/link_model.py
@@ -19,7 +19,7 @@
 SECONDS = 4.0
 
 
-def run(seed, paced, entries=10, lost=False):
+def run(seed, paced, entries=10, lose_entry=False):
     """Return sorted delays of checks in ms and upload throughput in Mbit/s.
 
     Uploads keep a window of bytes under way each, as TCP does, over one FIFO
@@ -47,7 +47,7 @@
             break
         size = CHECK_BYTES if upload is None else PART_BYTES
         if paced and (now, tie) not in ready:
-            if lost and now > SECONDS / 2 and len(held) == entries:
+            if lose_entry and now > SECONDS / 2 and len(held) == entries:
                 _lose_one(held)
             number = rng.randrange(entries) if upload is None else upload
             owner = held[number % len(held)]
@@ -79,12 +79,12 @@
     seed = parser.parse_args().seed
     print("| uploads | check p50 ms | check p99 ms | uploads Mbit/s |")
     print("| --- | --- | --- | --- |")
-    for name, paced, lost in (
+    for name, paced, lose_entry in (
         ("not paced", False, False),
         ("paced", True, False),
         ("paced, an entry of 10 lost midway", True, True),
     ):
-        delays, mbit = run(seed, paced, lost=lost)
+        delays, mbit = run(seed, paced, lose_entry=lose_entry)
         p50, p99 = delays[len(delays) // 2], delays[int(len(delays) * 0.99)]
         print(f"| {name} | {p50:.2f} | {p99:.2f} | {mbit:.0f} |")
 
--- a/bench/local_choice.py
+++ b/bench/local_choice.py
@@ -49,7 +49,7 @@
     return (time.process_time() - began) / rounds * 1e6
 
 
-def word_cost(servers: int, rounds: int) -> tuple[int, float]:
+def silence_report_cost(servers: int, rounds: int) -> tuple[int, float]:
     """Return bytes of a word on silent servers, and its cost at both ends, us."""
     keys = tuple(
         server_stats.incarnation_key(f"s{number}", 1)
@@ -75,7 +75,7 @@
         cost = choice_us(servers, rounds)
         click.echo(f"{servers:4} servers  {cost:6.1f} us a choice")
     for silent in (1, 7, 25):
-        size, cost = word_cost(silent, rounds)
+        size, cost = silence_report_cost(silent, rounds)
         click.echo(f"{silent:4} silent  {size:4} bytes  {cost:6.1f} us")
 
 
--- a/tests/steps/core/steering/link_pacing_steps.py
+++ b/tests/steps/core/steering/link_pacing_steps.py
@@ -21,8 +21,8 @@
     assert _p99(delays) > ms, _p99(delays)
 
 
-def _check_with_pacing(context, lost):
-    delays, mbit = link_model.run(1, paced=True, lost=lost)
+def _check_with_pacing(context, lose_entry):
+    delays, mbit = link_model.run(1, paced=True, lose_entry=lose_entry)
     assert _p99(delays) < context.p99_ms, _p99(delays)
     assert mbit >= context.mbit, mbit
 
@@ -33,12 +33,12 @@
 )
 def _(context, ms, mbit):
     context.p99_ms, context.mbit = ms, mbit
-    _check_with_pacing(context, lost=False)
+    _check_with_pacing(context, lose_entry=False)
 
 
 @then("with pacing of links and an entry lost midway both bounds hold")
 def _(context):
-    _check_with_pacing(context, lost=True)
+    _check_with_pacing(context, lose_entry=True)
 
 
 @given("a link with a rate of {rate:d} bytes a second")
