--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Load, experiments and the measurements behind docs/CAPACITY.md."""
+"""Load generator, simulations and the measurements for docs/CAPACITY.md."""
--- a/bench/distribution.py
+++ b/bench/distribution.py
@@ -1,10 +1,10 @@
-"""Measure distribution: seconds until in force, bytes and CPU.
+"""Measures the distribution of revisions: propagation time, traffic and CPU.
 
-`python -m bench.distribution --seed 1` prints two tables. The first runs the
-pure core on a fake network in virtual time: delays of 20 to 60 ms one way,
-the given share of messages lost, gossip each second. The second runs real
-connections over loopback in one process: control instances, followers and
-all that lies between; its CPU is that of both ends together.
+`python -m bench.distribution --seed 1` prints two tables. The first simulates
+the core of distribution on a fake network in virtual time: one-way delays of
+20 to 60 ms, the given share of messages lost, gossip each second. The second
+uses real connections over loopback in one process, from the control instances
+to the entries' followers; its CPU time is that of both ends together.
 """
 
 from collections.abc import Iterator
@@ -41,66 +41,79 @@
     ("push", "pull", "piggyback"),
 )
 LOSSES = (0.0, 0.1, 0.3)
-CONTROL = 3
-PATIENCE_S = 120.0
+CONTROL_INSTANCES = 3
+TIMEOUT_S = 120.0
 # Offsets of tcpi_bytes_acked and tcpi_bytes_received in struct tcp_info.
-_TCP_INFO_AT = 120
+_TCP_INFO_OFFSET = 120
 _TCP_INFO_BYTES = 136
 
 
 class PropagationTimes(NamedTuple):
-    """How long changes took until in force everywhere, in seconds."""
+    """Seconds until a change is in force at all entries, and idle traffic.
+
+    `polls_per_s` and `bytes_per_s` are those of one idle entry.
+    """
 
     median: float
     p95: float
     worst: float
-    asks_per_s: float
+    polls_per_s: float
     bytes_per_s: float
 
 
 def measure_propagation(
-    seed: int, entries: int, ways: tuple[str, ...], loss: float, runs: int
+    seed: int, entries: int, modes: tuple[str, ...], loss: float, runs: int
 ) -> PropagationTimes:
-    """Return the seconds until every entry has a change in force.
+    """Simulate changes; return the seconds until all entries have them.
+
+    The traffic is that of an idle entry and counts polls and their answers
+    alone.
 
-    The costs are those of an idle entry, for questions and answers alone.
+    Args:
+        seed: Seed of the simulations.
+        entries: Number of entries.
+        modes: Names of the update modes in use.
+        loss: Share of messages lost, from 0 to 1.
+        runs: Number of simulations.
     """
-    taken, asks, sent = [], [], []
+    propagation_s, polls_per_s, sent = [], [], []
     for run in range(runs):
-        chosen = [name in ways for name in messages.UpdateModes._fields]
+        flags = [name in modes for name in messages.UpdateModes._fields]
         net = fake_distribution.FakeNetwork(
             seed * 1000 + run,
             entries=entries,
-            modes=messages.UpdateModes(*chosen),
+            modes=messages.UpdateModes(*flags),
             fanout=3,
         )
         net.change()
-        net.run_until(lambda net=net: net.all_at(1), PATIENCE_S)
+        net.run_until(lambda net=net: net.all_at(1), TIMEOUT_S)
         net.loss = loss
-        began, before = net.now, dict(net.sent_bytes)
-        count = net.sent_count["ask"]
+        started_at, sent_before = net.now, dict(net.sent_bytes)
+        polls_before = net.sent_count["ask"]
         net.run(20 + run)
-        idle_s = (net.now - began) * entries
-        asks.append((net.sent_count["ask"] - count) / idle_s)
+        idle_s = (net.now - started_at) * entries
+        polls_per_s.append((net.sent_count["ask"] - polls_before) / idle_s)
         sent.append(
-            sum(net.sent_bytes[kind] - before[kind] for kind in
+            sum(net.sent_bytes[kind] - sent_before[kind] for kind in
                 ("ask", "answer")) / idle_s
         )  # fmt: skip
         net.change()
-        took = net.run_until(lambda net=net: net.all_at(2), PATIENCE_S)
-        taken.append(PATIENCE_S if took is None else took)
-    taken.sort()
+        duration_s = net.run_until(lambda net=net: net.all_at(2), TIMEOUT_S)
+        propagation_s.append(TIMEOUT_S if duration_s is None else duration_s)
+    propagation_s.sort()
     return PropagationTimes(
-        statistics.median(taken),
-        taken[min(len(taken) - 1, int(len(taken) * 0.95))],
-        taken[-1],
-        statistics.mean(asks),
+        statistics.median(propagation_s),
+        propagation_s[
+            min(len(propagation_s) - 1, int(len(propagation_s) * 0.95))
+        ],
+        propagation_s[-1],
+        statistics.mean(polls_per_s),
         statistics.mean(sent),
     )
 
 
 def value_of(revision: int) -> bytes:
-    """Return a state of 40 routes and 4 pools, one row of them changed."""
+    """Return a state of 40 routes and 4 pools; each revision changes a row."""
     routes = tuple(
         tables.Route(
             f"route-{n:03d}", "mrema.example", f"/{n}/", ("GET", "POST"),
@@ -117,10 +130,10 @@
 
 
 class Cost(NamedTuple):
-    """What one entry costs, both ends together.
+    """Cost of distribution for one entry.
 
-    `cpu` is the share of a core, `sent` and `received` bytes a second of the
-    entry within TCP.
+    `cpu` is the share of a core at both ends together, `sent` and `received`
+    are the TCP payload of the entry in bytes a second.
     """
 
     cpu: float
@@ -128,25 +141,30 @@
     received: float
 
 
-class _Farm:
-    """Control instances and entries' followers on real connections."""
+class _LoopbackSystem:
+    """Control instances and followers of entries, joined over loopback."""
 
     def __init__(self, entries: int, seed: int) -> None:
         rng = random.Random(seed)
-        links = rpc.ConnectionConfig(
+        connection_config = rpc.ConnectionConfig(
             auth.Keyring((b"a-shared-key-for-bench",)), rng
         )
-        self.links = links
-        self.addresses = [loopback.free_address() for _ in range(CONTROL)]
+        self.connection_config = connection_config
+        self.addresses = [
+            loopback.free_address() for _ in range(CONTROL_INSTANCES)
+        ]
         self.publishers = [
-            publisher.Publisher(history.History(), lambda now: 0.0, _sure)
+            publisher.Publisher(history.History(), lambda now: 0.0, _confirm)
             for _ in self.addresses
         ]
         self.entries = [
             configuration.Configuration(
                 f"entry-{n}",
-                [rpc.Client(address, links) for address in self.addresses],
-                rpc.Clients(links),
+                [
+                    rpc.Client(address, connection_config)
+                    for address in self.addresses
+                ],
+                rpc.Clients(connection_config),
                 rng,
                 messages.UpdateModes(),
             )
@@ -154,25 +172,29 @@
         ]
 
     def publish(self, revision: int) -> None:
-        """Make a revision known to all control instances."""
-        for one in self.publishers:
-            one.publish(revision, value_of(revision))
+        """Publish a revision at all control instances."""
+        for control_publisher in self.publishers:
+            control_publisher.publish(revision, value_of(revision))
 
     async def start(self, nursery: trio.Nursery) -> None:
-        """Run all; return when all entries have the first revision."""
+        """Start everything; return when all entries have the first revision."""
         self.publish(1)
-        for address, one in zip(self.addresses, self.publishers, strict=True):
-            handlers = {poll_wire.POLL: one.poll}
-            await nursery.start(rpc.serve, address, handlers, self.links)
+        for address, control_publisher in zip(
+            self.addresses, self.publishers, strict=True
+        ):
+            handlers = {poll_wire.POLL: control_publisher.poll}
+            await nursery.start(
+                rpc.serve, address, handlers, self.connection_config
+            )
         for entry in self.entries:
             nursery.start_soon(entry.run)
         while any(entry.snapshot.revision < 1 for entry in self.entries):
             await trio.sleep(0.1)
-        # Long enough for each entry to have asked each instance once.
+        # Long enough for each entry to poll each instance once.
         await trio.sleep(2.0)
 
     def sockets(self) -> Iterator[socket.socket]:
-        """Yield the entries' ends of all connections."""
+        """Yield the sockets of all connections at the entries."""
         for entry in self.entries:
             for client in entry._control.values():
                 conn = client._connection
@@ -182,18 +204,20 @@
                     yield transport.get_extra_info("socket")
 
     def traffic(self) -> tuple[int, int]:
-        """Return the bytes that all entries sent and received so far."""
+        """Return the total bytes that the entries have sent and received."""
         sent = received = 0
         for sock in self.sockets():
             info = sock.getsockopt(
                 socket.IPPROTO_TCP, socket.TCP_INFO, _TCP_INFO_BYTES
             )
-            acked, came = struct.unpack_from("=QQ", info, _TCP_INFO_AT)
-            sent, received = sent + acked, received + came
+            acked_bytes, received_bytes = struct.unpack_from(
+                "=QQ", info, _TCP_INFO_OFFSET
+            )
+            sent, received = sent + acked_bytes, received + received_bytes
         return sent, received
 
 
-async def _sure() -> bool:
+async def _confirm() -> bool:
     return True
 
 
@@ -201,29 +225,29 @@
     entries: int, seconds: float, changes: int, seed: int
 ) -> Cost:
     async with rpc.open_loop(), trio.open_nursery() as nursery:
-        farm = _Farm(entries, seed)
-        await farm.start(nursery)
-        sent, received = farm.traffic()
-        cpu, began = time.process_time(), time.monotonic()
+        system = _LoopbackSystem(entries, seed)
+        await system.start(nursery)
+        sent, received = system.traffic()
+        cpu, started_at = time.process_time(), time.monotonic()
         for change in range(changes):
-            farm.publish(2 + change)
+            system.publish(2 + change)
             await trio.sleep(seconds / changes)
         if not changes:
             await trio.sleep(seconds)
-        took = time.monotonic() - began
+        duration_s = time.monotonic() - started_at
         cpu = time.process_time() - cpu
-        now_sent, now_received = farm.traffic()
+        final_sent, final_received = system.traffic()
         nursery.cancel_scope.cancel()
-    share = took * entries
+    entry_seconds = duration_s * entries
     return Cost(
-        cpu / share,
-        (now_sent - sent) / share,
-        (now_received - received) / share,
+        cpu / entry_seconds,
+        (final_sent - sent) / entry_seconds,
+        (final_received - received) / entry_seconds,
     )
 
 
 def measure_cost(entries: int, seconds: float, changes: int, seed: int) -> Cost:
-    """Return what an entry costs with so many changes in so many seconds."""
+    """Return the cost for an entry with `changes` revisions in `seconds`."""
     return trio.run(_measure, entries, seconds, changes, seed)
 
 
@@ -241,7 +265,7 @@
     type=int,
     default=(4, 12, 50, 200),
     show_default=True,
-    help="Entries on real connections; may be given several times.",
+    help="Number of entries on real connections; repeatable.",
 )
 @click.option("--all-ways/--usual-ways", default=True, show_default=True)
 def main(
@@ -253,27 +277,27 @@
     all_ways: bool,
     farm: tuple[int, ...],
 ) -> None:
-    """Print seconds until in force and what an entry costs."""
+    """Print propagation times and the cost for an entry."""
     if part != "cost":
         click.echo(f"seconds until in force at {entries} entries, {runs} runs")
         click.echo("ways | lost | median | p95 | worst | asks/s | bytes/s")
-        for ways in MODE_COMBINATIONS if all_ways else MODE_COMBINATIONS[-1:]:
+        for modes in MODE_COMBINATIONS if all_ways else MODE_COMBINATIONS[-1:]:
             for loss in LOSSES:
-                got = measure_propagation(seed, entries, ways, loss, runs)
+                times = measure_propagation(seed, entries, modes, loss, runs)
                 click.echo(
-                    f"{' + '.join(ways)} | {loss:.0%} | {got.median:.2f} |"
-                    f" {got.p95:.2f} | {got.worst:.2f} |"
-                    f" {got.asks_per_s:.2f} | {got.bytes_per_s:.0f}"
+                    f"{' + '.join(modes)} | {loss:.0%} | {times.median:.2f} |"
+                    f" {times.p95:.2f} | {times.worst:.2f} |"
+                    f" {times.polls_per_s:.2f} | {times.bytes_per_s:.0f}"
                 )
     if part != "force":
         click.echo(f"one entry, both ends, over {seconds:g} s")
         click.echo("entries | changes | CPU % | sent B/s | received B/s")
-        for count in farm:
+        for entry_count in farm:
             for changes in (0, 10):
-                each = measure_cost(count, seconds, changes, seed)
+                entry_cost = measure_cost(entry_count, seconds, changes, seed)
                 click.echo(
-                    f"{count} | {changes} | {each.cpu * 100:.3f} |"
-                    f" {each.sent:.0f} | {each.received:.0f}"
+                    f"{entry_count} | {changes} | {entry_cost.cpu * 100:.3f} |"
+                    f" {entry_cost.sent:.0f} | {entry_cost.received:.0f}"
                 )
 
 
--- a/bench/link_model.py
+++ b/bench/link_model.py
@@ -1,4 +1,4 @@
-"""Delay of stock checks on a link that uploads fill, paced and not.
+"""Delay of small checks on a link filled by uploads, with and without pacing.
 
 python -m bench.link_model --seed 1
 """
@@ -10,66 +10,78 @@
 from hyssopfold.core.steering import link_pacing
 
 LINK_MBIT = 4000
-LINK_BYTES_S = LINK_MBIT * 1_000_000 / 8
-PART_BYTES = 64 * 1024
+LINK_BYTES_PER_S = LINK_MBIT * 1_000_000 / 8
+CHUNK_BYTES = 64 * 1024
 WINDOW_BYTES = 1024 * 1024
 CHECK_BYTES = 2048
-CHECKS_S = 2000
+CHECKS_PER_S = 2000
 UPLOADS = 60
 SECONDS = 4.0
 
 
 def run(seed, paced, entries=10, lose_entry=False):
-    """Return sorted delays of checks in ms and upload throughput in Mbit/s.
+    """Simulate a link; return check delays and upload throughput.
 
-    Uploads keep a window of bytes under way each, as TCP does, over one FIFO
-    link. `lost` ends one entry midway; its uploads go on at the others, which
-    learn of its lost part when its lease has ended (here at once).
+    Each upload keeps a window of bytes in flight, as TCP does, over one FIFO
+    link.
+
+    Args:
+        seed: Seed of the simulation.
+        paced: Whether the entries pace their traffic.
+        entries: Number of entries that share the link.
+        lose_entry: Whether one entry is lost at half time. Its uploads go on
+            at the others, which take over its share of the rate at once; real
+            entries do so when its lease has ended.
+
+    Returns:
+        The sorted delays of checks in ms, and the throughput in Mbit/s.
     """
     rng = random.Random(seed)
-    held = [
+    pacers = [
         link_pacing.LinkPacer(link_pacing.bulk_rate_bytes_s(LINK_MBIT, entries))
         for _ in range(entries)
     ]
-    free_at, delays, moved = 0.0, [], 0
+    link_free_at, delays_ms, uploaded_bytes = 0.0, [], 0
     events = []
     for upload in range(UPLOADS):
-        for _ in range(WINDOW_BYTES // PART_BYTES):
+        for _ in range(WINDOW_BYTES // CHUNK_BYTES):
             heapq.heappush(events, (rng.random() * 0.01, rng.random(), upload))
-    at = 0.0
-    while at < SECONDS:
-        at += rng.expovariate(CHECKS_S)
-        heapq.heappush(events, (at, rng.random(), None))
-    ready = set()
+    check_at = 0.0
+    while check_at < SECONDS:
+        check_at += rng.expovariate(CHECKS_PER_S)
+        heapq.heappush(events, (check_at, rng.random(), None))
+    admitted = set()
     while events:
-        now, tie, upload = heapq.heappop(events)
+        now, tie_breaker, upload = heapq.heappop(events)
         if now > SECONDS:
             break
-        size = CHECK_BYTES if upload is None else PART_BYTES
-        if paced and (now, tie) not in ready:
-            if lose_entry and now > SECONDS / 2 and len(held) == entries:
-                _lose_one(held)
-            number = rng.randrange(entries) if upload is None else upload
-            owner = held[number % len(held)]
-            wait = owner.reserve(size, upload is not None, now)
-            if wait > 0:
-                ready.add((now + wait, tie))
-                heapq.heappush(events, (now + wait, tie, upload))
+        size = CHECK_BYTES if upload is None else CHUNK_BYTES
+        if paced and (now, tie_breaker) not in admitted:
+            if lose_entry and now > SECONDS / 2 and len(pacers) == entries:
+                _remove_pacer(pacers)
+            index = rng.randrange(entries) if upload is None else upload
+            pacer = pacers[index % len(pacers)]
+            wait_s = pacer.reserve(size, upload is not None, now)
+            if wait_s > 0:
+                admitted.add((now + wait_s, tie_breaker))
+                heapq.heappush(events, (now + wait_s, tie_breaker, upload))
                 continue
-        ready.discard((now, tie))
-        free_at = max(free_at, now) + size / LINK_BYTES_S
+        admitted.discard((now, tie_breaker))
+        link_free_at = max(link_free_at, now) + size / LINK_BYTES_PER_S
         if upload is None:
-            delays.append((free_at - now) * 1000)
+            delays_ms.append((link_free_at - now) * 1000)
         else:
-            moved += size
-            heapq.heappush(events, (free_at, rng.random(), upload))
-    return sorted(delays), moved * 8 / SECONDS / 1e6
+            uploaded_bytes += size
+            heapq.heappush(events, (link_free_at, rng.random(), upload))
+    return sorted(delays_ms), uploaded_bytes * 8 / SECONDS / 1e6
 
 
-def _lose_one(held):
-    held.pop()
-    for link in held:
-        link.rate_bytes_s = link_pacing.bulk_rate_bytes_s(LINK_MBIT, len(held))
+def _remove_pacer(pacers):
+    pacers.pop()
+    for pacer in pacers:
+        pacer.rate_bytes_s = link_pacing.bulk_rate_bytes_s(
+            LINK_MBIT, len(pacers)
+        )
 
 
 def main():
@@ -84,8 +96,11 @@
         ("paced", True, False),
         ("paced, an entry of 10 lost midway", True, True),
     ):
-        delays, mbit = run(seed, paced, lose_entry=lose_entry)
-        p50, p99 = delays[len(delays) // 2], delays[int(len(delays) * 0.99)]
+        delays_ms, mbit = run(seed, paced, lose_entry=lose_entry)
+        p50, p99 = (
+            delays_ms[len(delays_ms) // 2],
+            delays_ms[int(len(delays_ms) * 0.99)],
+        )
         print(f"| {name} | {p50:.2f} | {p99:.2f} | {mbit:.0f} |")
 
 
--- a/bench/log_lines.py
+++ b/bench/log_lines.py
@@ -1,6 +1,6 @@
-"""Measure what a log line costs, written and sampled away.
+"""Measures the CPU cost of a log line that is written or sampled out.
 
-`python -m bench.log_lines` prints microseconds a line.
+`python -m bench.log_lines` prints CPU microseconds for each line.
 """
 
 import logging
@@ -11,20 +11,25 @@
 
 from hyssopfold import logs
 
-SAMPLES = (1, 10, 100)
+SAMPLE_INTERVALS = (1, 10, 100)
 
 
-def cost_us(count: int, sample: int) -> float:
-    """Return the microseconds of a decision line, one in `sample` written."""
+def line_cost_us(count: int, sample_interval: int) -> float:
+    """Return the mean CPU microseconds of a decision line.
+
+    Args:
+        count: Number of lines.
+        sample_interval: One line in so many is written.
+    """
     with open(os.devnull, "w", encoding="utf-8") as sink:
         handler = logging.StreamHandler(sink)
         handler.setFormatter(logs.KeyValueFormatter("entry-1"))
-        handler.addFilter(logs.SamplingFilter(sample))
+        handler.addFilter(logs.SamplingFilter(sample_interval))
         logger = logging.getLogger("bench.log_lines")
         logger.handlers[:] = [handler]
         logger.propagate = False
         logger.setLevel(logging.INFO)
-        began = time.process_time()
+        started_at = time.process_time()
         for number in range(count):
             logger.info(
                 logs.Event(
@@ -37,16 +42,18 @@
                     sequence=number,
                 )
             )
-        return (time.process_time() - began) / count * 1e6
+        return (time.process_time() - started_at) / count * 1e6
 
 
 @click.command()
 @click.option("--count", default=50_000, show_default=True)
 def main(count: int) -> None:
-    """Print what a decision line of six fields costs."""
+    """Print the cost of a decision line of six fields by sample interval."""
     click.echo("one in | us a line")
-    for sample in SAMPLES:
-        click.echo(f"{sample} | {cost_us(count, sample):.1f}")
+    for sample_interval in SAMPLE_INTERVALS:
+        click.echo(
+            f"{sample_interval} | {line_cost_us(count, sample_interval):.1f}"
+        )
 
 
 if __name__ == "__main__":
--- a/bench/placement_failover.py
+++ b/bench/placement_failover.py
@@ -1,7 +1,7 @@
-"""How long no slots are granted when the grantor changes, and who is refused.
+"""Measures a change of the grantor: the gap without grants and refusals.
 
-`python -m bench.placement_failover --seed N` runs entries' placement cores in
-virtual time, at 85 % load on 12 servers of 3 slots under 10 entries.
+`python -m bench.placement_failover --seed N` runs the placement cores of 10
+entries in virtual time, at 85 % load on 12 servers of 3 slots.
 """
 
 import itertools
@@ -26,7 +26,12 @@
 
 
 class Outcome(NamedTuple):
-    """Seconds without a grant; shares refused before and after a restart."""
+    """Results of one change of the grantor.
+
+    `gap_s` is the longest time without a grant. The shares of refused requests
+    are those until the old grantor restarts and from 3 s after its restart.
+    `withheld` is the number of slots that the new grantor withheld.
+    """
 
     gap_s: float
     refused_until_restart: float
@@ -34,104 +39,109 @@
     withheld: int
 
 
-class _Load:
-    """Requests at a steady rate, each held for its service time."""
+class _SteadyLoad:
+    """Requests at a steady mean rate, each with a slot for its service time."""
 
     def __init__(self, seed: int) -> None:
         self.rng = random.Random(seed)
-        self.world = fake_entries.FakeEntries(seed, 10, 12)
-        self.world.run(4)
-        self.due: list[tuple[float, str, int]] = []
+        self.cluster = fake_entries.FakeEntries(seed, 10, 12)
+        self.cluster.run(4)
+        self.in_service: list[tuple[float, str, int]] = []
         self.waiting: list[tuple[str, int]] = []
         self.grants: list[float] = []
         self.refusals: list[float] = []
 
     def step(self) -> None:
-        """Let one step's requests come, and others end."""
-        world = self.world
-        live = [
+        """Send the requests of one step and release the slots of finished ones."""
+        cluster = self.cluster
+        live_entries = [
             name
-            for name, entry in world.entries.items()
-            if name not in world.dead and not entry.frozen
+            for name, entry in cluster.entries.items()
+            if name not in cluster.dead and not entry.frozen
         ]
         count = RATE * STEP_S
         arrivals = int(count) + (self.rng.random() < count % 1)
         for _ in range(arrivals):
-            name = self.rng.choice(live)
-            self.waiting.append((name, world.request_slot(name)))
-        world.run(STEP_S)
-        self._collect(live)
-
-    def _collect(self, live: list[str]) -> None:
-        world = self.world
-        left = []
+            name = self.rng.choice(live_entries)
+            self.waiting.append((name, cluster.request_slot(name)))
+        cluster.run(STEP_S)
+        self._collect(live_entries)
+
+    def _collect(self, live_entries: list[str]) -> None:
+        cluster = self.cluster
+        still_waiting = []
         for name, ticket in self.waiting:
-            answer = world.entries[name].answers.get(ticket)
-            if isinstance(answer, messages.Grant):
-                self.grants.append(world.now)
-                end = world.now + self.rng.expovariate(1 / SERVICE_S)
-                self.due.append((end, name, ticket))
-            elif isinstance(answer, messages.Refused):
-                self.refusals.append(world.now)
-            elif name in live:
-                left.append((name, ticket))
-        self.waiting = left
-        ended = [one for one in self.due if one[0] <= world.now]
-        self.due = [one for one in self.due if one[0] > world.now]
-        for _, name, ticket in ended:
-            if ticket in world.entries[name].grants and name in live:
-                world.release(name, ticket)
+            result = cluster.entries[name].answers.get(ticket)
+            if isinstance(result, messages.Grant):
+                self.grants.append(cluster.now)
+                end = cluster.now + self.rng.expovariate(1 / SERVICE_S)
+                self.in_service.append((end, name, ticket))
+            elif isinstance(result, messages.Refused):
+                self.refusals.append(cluster.now)
+            elif name in live_entries:
+                still_waiting.append((name, ticket))
+        self.waiting = still_waiting
+        finished = [item for item in self.in_service if item[0] <= cluster.now]
+        self.in_service = [
+            item for item in self.in_service if item[0] > cluster.now
+        ]
+        for _, name, ticket in finished:
+            if ticket in cluster.entries[name].grants and name in live_entries:
+                cluster.release(name, ticket)
 
     def run(self, seconds: float) -> None:
-        """Go on for some time."""
+        """Run for a number of seconds."""
         for _ in range(round(seconds / STEP_S)):
             self.step()
 
 
 def run(case: str, seed: int) -> Outcome:
-    """Return what one change of the grantor costs."""
-    load = _Load(seed)
+    """Simulate one change of the grantor; return its outcome."""
+    load = _SteadyLoad(seed)
     load.run(BEFORE_S)
-    world = load.world
-    (old,) = world.grantors()
-    began = world.now
+    cluster = load.cluster
+    (old_grantor,) = cluster.grantors()
+    failed_at = cluster.now
     if case.endswith("cut off"):
-        world.separate(list(world.entries), list(world.control_names))
+        cluster.separate(list(cluster.entries), list(cluster.control_names))
     if case == "leaves":
-        world.submit(old, node.Leave())
+        cluster.submit(old_grantor, node.Leave())
     elif case == "frozen":
-        world.freeze(old)
+        cluster.freeze(old_grantor)
     else:
-        world.kill(old)
+        cluster.kill(old_grantor)
     load.run(RESTART_S)
-    restarted = world.now
+    restarted_at = cluster.now
     withheld = [
-        world.entries[name].node.own_grantor(KEY).ledger.withheld()
-        for name in world.grantors()
-        if name != old
+        cluster.entries[name].node.own_grantor(KEY).ledger.withheld()
+        for name in cluster.grantors()
+        if name != old_grantor
     ]
     if case == "frozen":
-        world.thaw(old)
+        cluster.thaw(old_grantor)
     elif case != "leaves":
-        world.heal()
-        world.start(old)
+        cluster.heal()
+        cluster.start(old_grantor)
     load.run(AFTER_S)
     return Outcome(
-        _longest_gap(load.grants, began),
-        _refused(load, began, restarted),
-        _refused(load, restarted + 3, world.now),
+        _longest_gap(load.grants, failed_at),
+        _refused_share(load, failed_at, restarted_at),
+        _refused_share(load, restarted_at + 3, cluster.now),
         max(withheld, default=0),
     )
 
 
 def _longest_gap(grants: list[float], since: float) -> float:
-    times = [since, *(at for at in grants if at >= since)]
+    times = [
+        since,
+        *(granted_at for granted_at in grants if granted_at >= since),
+    ]
     return max(b - a for a, b in itertools.pairwise(times))
 
 
-def _refused(load: _Load, since: float, until: float) -> float:
-    granted = sum(since < at <= until for at in load.grants)
-    refused = sum(since < at <= until for at in load.refusals)
+def _refused_share(load: _SteadyLoad, since: float, until: float) -> float:
+    granted = sum(since < granted_at <= until for granted_at in load.grants)
+    refused = sum(since < refused_at <= until for refused_at in load.refusals)
     return refused / max(1, granted + refused)
 
 
@@ -139,19 +149,19 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--runs", default=5, show_default=True)
 def main(seed: int, runs: int) -> None:
-    """Print a table of the cases."""
+    """Print the results of all cases as a table."""
     print(
         "case                     gap s: median  worst  refused first 5 s"
         "  from 3 s after restart  withheld"
     )
     for case in CASES:
-        found = [run(case, seed + number) for number in range(runs)]
-        gaps = [one.gap_s for one in found]
+        trials = [run(case, seed + number) for number in range(runs)]
+        gaps = [trial.gap_s for trial in trials]
         print(
             f"{case:24} {statistics.median(gaps):14.2f}  {max(gaps):5.2f}"
-            f"  {statistics.mean(o.refused_until_restart for o in found):17.3f}"
-            f"  {statistics.mean(o.refused_after for o in found):22.3f}"
-            f"  {max(o.withheld for o in found):8}",
+            f"  {statistics.mean(o.refused_until_restart for o in trials):17.3f}"
+            f"  {statistics.mean(o.refused_after for o in trials):22.3f}"
+            f"  {max(o.withheld for o in trials):8}",
             flush=True,
         )
 
