--- a/bench/capacity/membership.py
+++ b/bench/capacity/membership.py
@@ -205,7 +205,7 @@
     for slope in _slopes(costs):
         print(
             f"{slope.cost}: {slope.intercept:.4g} + {slope.slope:.4g} for each"
-            f" node; at 440 {slope.at(440):.4g}"
+            f" node; at 440 {slope.predict(440):.4g}"
         )
 
 
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -24,7 +24,7 @@
             lines.append(
                 f"| {part} | {slope.cost} | {slope.per} | {slope.slope:.3g}"
                 f" | {slope.intercept:.3g} | {len(slope.points)}"
-                f" | {slope.worst:.0%} | `{slope.command}` |"
+                f" | {slope.max_relative_error:.0%} | `{slope.command}` |"
             )
     return "\n".join(lines)
 
--- a/bench/capacity/roles.py
+++ b/bench/capacity/roles.py
@@ -25,24 +25,24 @@
     mechanism: str
 
 
-def at(slope: slopes.Slope, x: float) -> float:
+def cost_at(slope: slopes.Slope, x: float) -> float:
     """Return the cost at `x`: a point measured there, else the line."""
     for point in slope.points:
         if abs(point.x - x) <= _NEAR * x:
             return point.y
-    return max(0.0, slope.at(x))
+    return max(0.0, slope.predict(x))
 
 
 def entry_rows(measured: store.Measured, size: sizes.Size) -> list[Row]:
     """Return what control costs an entry."""
     nodes = float(size.nodes)
-    gossip = at(measured.slope("membership", "bytes/s sent"), nodes)
-    gossip_cpu = at(measured.slope("membership", "share of a core"), nodes)
-    directory = at(measured.slope("membership", "bytes of memory"), nodes)
+    gossip = cost_at(measured.slope("membership", "bytes/s sent"), nodes)
+    gossip_cpu = cost_at(measured.slope("membership", "share of a core"), nodes)
+    directory = cost_at(measured.slope("membership", "bytes of memory"), nodes)
     idle = measured.slope("distribution", "% of a core").slope
     idle_bytes = measured.slope("distribution", "bytes/s").slope
-    step_us = at(measured.slope("steering", "CPU of a step"), _POOLS)
-    roster_us = at(measured.slope("lookup", "CPU of a check"), nodes)
+    step_us = cost_at(measured.slope("steering", "CPU of a step"), _POOLS)
+    roster_us = cost_at(measured.slope("lookup", "CPU of a check"), nodes)
     return [
         Row(
             "entry",
@@ -114,10 +114,12 @@
     """Return what one control instance costs, set aside for control."""
     members = size.control_instances
     idle = f"idle register, one of {members}:"
-    edit_ms = measured.slope("control", "CPU of an edit").at(size.state_bytes)
+    edit_ms = measured.slope("control", "CPU of an edit").predict(
+        size.state_bytes
+    )
     edit_bytes = measured.slope("control", "bytes of an edit")
     # Measured over three members, of which two are sent the value.
-    copy = edit_bytes.at(size.state_bytes) / 2
+    copy = edit_bytes.predict(size.state_bytes) / 2
     per_s = size.changes_per_day / _DAY_S
     share = size.nodes / members
     line = measured.slope("distribution", "% of a core").slope
@@ -160,12 +162,14 @@
     blocks = measured.slope("lookup", "memory of client blocks")
     grants = size.requests_per_s / (size.regions * _POOLS)
     servers = size.servers / (size.regions * _POOLS)
-    grant_s = measured.slope("placement", "seconds of processor").at(servers)
+    grant_s = measured.slope("placement", "seconds of processor").predict(
+        servers
+    )
     return [
         Row(
             "entry",
             f"look-ups, {lookups:.0f} a second",
-            blocks.at(size.client_blocks),
+            blocks.predict(size.client_blocks),
             lookups,
             None,
             per_lookup * lookups,
--- a/bench/capacity/slopes.py
+++ b/bench/capacity/slopes.py
@@ -26,11 +26,11 @@
     per: str
     slope: float
     intercept: float
-    worst: float
+    max_relative_error: float
     points: tuple[Point, ...]
     command: str
 
-    def at(self, x: float) -> float:
+    def predict(self, x: float) -> float:
         """Return the cost that the line gives at `x`."""
         return self.intercept + self.slope * x
 
@@ -42,7 +42,7 @@
     xs = [point.x for point in points]
     ys = [point.y for point in points]
     line = statistics.linear_regression(xs, ys)
-    worst = max(
+    max_relative_error = max(
         abs(line.slope * point.x + line.intercept - point.y)
         / max(abs(point.y), 1e-12)
         for point in points
@@ -53,7 +53,7 @@
         per,
         line.slope,
         line.intercept,
-        worst,
+        max_relative_error,
         tuple(points),
         command,
     )
--- a/bench/placement_failover.py
+++ b/bench/placement_failover.py
@@ -52,7 +52,7 @@
         self.refusals: list[float] = []
 
     def step(self) -> None:
-        """Send the requests of one step and release the slots of finished ones."""
+        """Send the requests of one step; release the slots of finished ones."""
         cluster = self.cluster
         live_entries = [
             name
