--- a/bench/capacity/__init__.py
+++ b/bench/capacity/__init__.py
@@ -1,5 +1,5 @@
-"""Slopes from which docs/CAPACITY.md is worked out, a module for each part.
+"""Measurements from which docs/CAPACITY.md is computed, a module for each part.
 
-Each module has `measure() -> list[slopes.Slope]`; `python -m bench.capacity`
-runs them all.
+A module that measures has `measure() -> list[slopes.Slope]` or `figures() ->
+list[slopes.Figure]`, or both; `python -m bench.capacity` runs them all.
 """
--- a/bench/capacity/control.py
+++ b/bench/capacity/control.py
@@ -1,11 +1,11 @@
-"""Slopes of the durable state: CPU and bytes of an edit by its size."""
+"""Cost of the durable state: CPU and bytes of edits and of an idle cluster."""
 
 import time
 
 import trio
 
 from bench.capacity import slopes
-from bench.control import __main__ as commits
+from bench.control import __main__ as edits_benchmark
 from bench.control import cluster as cluster_module
 
 _COMMAND = "python -m bench.capacity --part control"
@@ -16,26 +16,34 @@
 
 
 def measure() -> list[slopes.Slope]:
-    """Return CPU and bytes for an edit, per byte of the value."""
+    """Return the slopes of CPU and bytes of an edit by size of the value."""
     costs = [
-        trio.run(commits.run_edits, _INSTANCES, 0.0, size, _EDITS, 1)
+        trio.run(edits_benchmark.run_edits, _INSTANCES, 0.0, size, _EDITS, 1)
         for size in _SIZES
     ]
-    cpu = [
+    cpu_points = [
         slopes.Point(size, cost.cpu_ms)
         for size, cost in zip(_SIZES, costs, strict=True)
     ]
-    sent = [
+    bytes_points = [
         slopes.Point(size, cost.bytes_per_edit)
         for size, cost in zip(_SIZES, costs, strict=True)
     ]
     per = "byte of the value"
     return [
         slopes.fit(
-            "control", "CPU of an edit, 3 instances, ms", per, cpu, _COMMAND
+            "control",
+            "CPU of an edit, 3 instances, ms",
+            per,
+            cpu_points,
+            _COMMAND,
         ),
         slopes.fit(
-            "control", "bytes of an edit, 3 instances", per, sent, _COMMAND
+            "control",
+            "bytes of an edit, 3 instances",
+            per,
+            bytes_points,
+            _COMMAND,
         ),
     ]
 
@@ -44,28 +52,28 @@
     async with cluster_module.running(count, 0.0) as cluster:
         await trio.sleep(3)
         traffic = cluster.traffic
-        sent, size = traffic.messages, traffic.bytes
-        cpu = time.process_time()
+        messages, sent_bytes = traffic.messages, traffic.bytes
+        cpu_s = time.process_time()
         await trio.sleep(_IDLE_S)
-        cpu = time.process_time() - cpu
-        share = count * _IDLE_S
+        cpu_s = time.process_time() - cpu_s
+        instance_seconds = count * _IDLE_S
         return (
-            cpu * 1000 / share,
-            (traffic.messages - sent) / share,
-            (traffic.bytes - size) / share,
+            cpu_s * 1000 / instance_seconds,
+            (traffic.messages - messages) / instance_seconds,
+            (traffic.bytes - sent_bytes) / instance_seconds,
         )
 
 
 def figures() -> list[slopes.Figure]:
-    """Return what an idle instance spends, of 3 and of 7."""
-    found = []
+    """Return CPU, messages and bytes of an idle instance, of 3 and of 7."""
+    results = []
     for count in (3, 7):
-        cpu_ms, sent, size = trio.run(_idle, count)
+        cpu_ms, messages, sent_bytes = trio.run(_idle, count)
         for name, value in (
             ("CPU, ms a second", cpu_ms),
-            ("messages a second", sent),
-            ("bytes a second", size),
+            ("messages a second", messages),
+            ("bytes a second", sent_bytes),
         ):
             cost = f"idle register, one of {count}: {name}"
-            found.append(slopes.Figure("control", cost, value, _COMMAND))
-    return found
+            results.append(slopes.Figure("control", cost, value, _COMMAND))
+    return results
--- a/bench/capacity/datapath.py
+++ b/bench/capacity/datapath.py
@@ -1,4 +1,4 @@
-"""Processor time of an entry for callers' requests and look-ups, by HTTP."""
+"""CPU time of an entry for callers' requests and look-ups over HTTP."""
 
 import trio
 
@@ -17,14 +17,14 @@
 )
 
 
-def _core_share(
-    running: fleet.Fleet, kind: scenarios.RequestKind, rate: float
+def _core_percent(
+    processes: fleet.Fleet, kind: scenarios.RequestKind, rate: float
 ) -> float:
     scenario = scenarios.Scenario(
         name=kind.name,
         seed=1,
         host=fleet.HOST,
-        entries=(running.entry,),
+        entries=(processes.entry,),
         look_up=False,
         arrivals=scenarios.OPEN,
         rate=rate,
@@ -34,22 +34,22 @@
         timeout_s=10.0,
         mix=(kind,),
     )
-    load = runner.Run(scenario)
-    before = running.cpu_s("entry")
-    seconds = trio.run(load.run)
-    return (running.cpu_s("entry") - before) / seconds * 100
+    load_run = runner.Run(scenario)
+    cpu_before_s = processes.cpu_s("entry")
+    seconds = trio.run(load_run.run)
+    return (processes.cpu_s("entry") - cpu_before_s) / seconds * 100
 
 
 def measure() -> list[slopes.Slope]:
-    """Return what requests and look-ups cost an entry, connections kept."""
-    found = []
-    with fleet.Fleet() as running:
+    """Return the slopes of CPU by request rate, on persistent connections."""
+    results = []
+    with fleet.Fleet() as processes:
         for kind in _KINDS:
             points = [
-                slopes.Point(rate, _core_share(running, kind, rate))
+                slopes.Point(rate, _core_percent(processes, kind, rate))
                 for rate in _RATES
             ]
-            found.append(
+            results.append(
                 slopes.fit(
                     "datapath",
                     f"{kind.name}, % of a core",
@@ -58,4 +58,4 @@
                     _COMMAND,
                 )
             )
-    return found
+    return results
--- a/bench/capacity/distribution.py
+++ b/bench/capacity/distribution.py
@@ -1,4 +1,4 @@
-"""What bringing revisions to entries costs: slopes by entry and by change."""
+"""Cost of distributing revisions: slopes by entries and by changes."""
 
 from bench import distribution
 from bench.capacity import slopes
@@ -11,11 +11,11 @@
 
 
 def measure() -> list[slopes.Slope]:
-    """Return the slopes; both ends run in one process."""
-    idle = {
+    """Return the slopes of CPU and bytes; both ends run in one process."""
+    idle_costs = {
         n: distribution.measure_cost(n, _SECONDS, 0, _SEED) for n in _ENTRIES
     }
-    changing = {
+    costs_by_changes = {
         n: distribution.measure_cost(_ENTRIES[1], _SECONDS, n, _SEED)
         for n in _CHANGES
     }
@@ -24,7 +24,10 @@
             "distribution, idle, both ends",
             "% of a core",
             "entry",
-            [slopes.Point(n, n * each.cpu * 100) for n, each in idle.items()],
+            [
+                slopes.Point(n, n * cost.cpu * 100)
+                for n, cost in idle_costs.items()
+            ],
             _COMMAND,
         ),
         slopes.fit(
@@ -32,8 +35,8 @@
             "bytes/s",
             "entry",
             [
-                slopes.Point(n, n * (each.sent + each.received))
-                for n, each in idle.items()
+                slopes.Point(n, n * (cost.sent + cost.received))
+                for n, cost in idle_costs.items()
             ],
             _COMMAND,
         ),
@@ -42,8 +45,8 @@
             "% of a core",
             "change a second",
             [
-                slopes.Point(n / _SECONDS, each.cpu * 100)
-                for n, each in changing.items()
+                slopes.Point(n / _SECONDS, cost.cpu * 100)
+                for n, cost in costs_by_changes.items()
             ],
             _COMMAND,
         ),
@@ -52,8 +55,8 @@
             "bytes/s",
             "change a second",
             [
-                slopes.Point(n / _SECONDS, each.sent + each.received)
-                for n, each in changing.items()
+                slopes.Point(n / _SECONDS, cost.sent + cost.received)
+                for n, cost in costs_by_changes.items()
             ],
             _COMMAND,
         ),
--- a/bench/capacity/lookup.py
+++ b/bench/capacity/lookup.py
@@ -1,4 +1,4 @@
-"""Cost of a look-up, of arranging the entries, and of client blocks."""
+"""Cost of look-ups, of the index of entries and of client blocks."""
 
 import time
 import types
@@ -35,15 +35,15 @@
     ]  # fmt: skip
 
 
-def _us(call, count):
-    began = time.process_time()
+def _mean_cpu_us(function, count):
+    started_at = time.process_time()
     for number in range(count):
-        call(number)
-    return (time.process_time() - began) / count * 1e6
+        function(number)
+    return (time.process_time() - started_at) / count * 1e6
 
 
-class _Spread:
-    """The directory's part that look-ups use."""
+class _GossipStub:
+    """Stub of the gossip service with the part of its directory in use here."""
 
     def __init__(self, entries):
         self.directory = self
@@ -51,26 +51,28 @@
         self._entries = entries
 
     def records(self):
-        """Return all instances."""
+        """Return the entries."""
         return self._entries
 
 
 async def _answer_us(count):
-    first = tables.parse(
+    initial_tables = tables.parse(
         "routes: [{name: r, path_prefix: /, pool: p}]\n"
         "pools: [{name: p, slots: 3}]\n"
     )
     config = types.SimpleNamespace(
-        snapshot=configuration.Snapshot(1, state.State(first))
+        snapshot=configuration.Snapshot(1, state.State(initial_tables))
     )
-    known = directory.Directory(1e9)
-    clients = blocks.ClientBlocks("")
-    steer = steering.Steering("r0", {}, config, known, clients)
-    answers = lookups.Lookups(
-        "r0", {}, 5.0, config, _Spread(_entries(count)), steer
+    empty_directory = directory.Directory(1e9)
+    client_table = blocks.ClientBlocks("")
+    traffic_steering = steering.Steering(
+        "r0", {}, config, empty_directory, client_table
     )
-    return _us(
-        lambda n: answers.answer(
+    lookup_service = lookups.Lookups(
+        "r0", {}, 5.0, config, _GossipStub(_entries(count)), traffic_steering
+    )
+    return _mean_cpu_us(
+        lambda n: lookup_service.answer(
             {"query_string": b"host=h&path=/a&client=10.1.2.%d" % (n % 250)}
         ),
         _CALLS,
@@ -78,9 +80,9 @@
 
 
 def measure():
-    """Return the slopes."""
-    ranked, same, anew, memory, parse = [], [], [], [], []
-    answers = [slopes.Point(n, trio.run(_answer_us, n)) for n in _ENTRIES]
+    """Return the slopes of CPU and memory by entries and by blocks."""
+    ranking, unchanged, rebuild, memory, parse = [], [], [], [], []
+    answer = [slopes.Point(n, trio.run(_answer_us, n)) for n in _ENTRIES]
     regions = [f"r{n}" for n in range(_REGIONS)]
     for count in _ENTRIES:
         entries = _entries(count)
@@ -93,28 +95,30 @@
         def update(_, index=index, entries=entries):
             index.update(entries)
 
-        def arrange(_, entries=entries):
+        def build(_, entries=entries):
             lookup.EntryIndex().update(entries)
 
-        ranked.append(slopes.Point(count, _us(rank, _CALLS)))
-        same.append(slopes.Point(count, _us(update, 20)))
-        anew.append(slopes.Point(count, _us(arrange, 5)))
+        ranking.append(slopes.Point(count, _mean_cpu_us(rank, _CALLS)))
+        unchanged.append(slopes.Point(count, _mean_cpu_us(update, 20)))
+        rebuild.append(slopes.Point(count, _mean_cpu_us(build, 5)))
     for count in _BLOCKS:
         result = client_blocks.measure(count, 1)
         memory.append(slopes.Point(count, result.array_bytes))
         parse.append(slopes.Point(count, result.parse_s))
     return [
         slopes.fit(
-            "lookup", "CPU of an answer without HTTP, us", "entry", answers,
+            "lookup", "CPU of an answer without HTTP, us", "entry", answer,
             _COMMAND,
         ),
-        slopes.fit("lookup", "CPU of a ranking, us", "entry", ranked, _COMMAND),
         slopes.fit(
-            "lookup", "CPU of a check that nothing changed, us", "entry", same,
-            _COMMAND,
+            "lookup", "CPU of a ranking, us", "entry", ranking, _COMMAND,
+        ),
+        slopes.fit(
+            "lookup", "CPU of a check that nothing changed, us", "entry",
+            unchanged, _COMMAND,
         ),
         slopes.fit(
-            "lookup", "CPU of arranging the entries anew, us", "entry", anew,
+            "lookup", "CPU of arranging the entries anew, us", "entry", rebuild,
             _COMMAND,
         ),
         slopes.fit(
--- a/bench/capacity/membership.py
+++ b/bench/capacity/membership.py
@@ -1,7 +1,7 @@
-"""Cost of membership for each node, from gossip cores in one process.
+"""Cost of membership for each node, from gossip protocols in one process.
 
-`python -m bench.capacity.membership` prints bytes, datagrams, processor time
-and memory for each node at 12, 50, 100, 200 and 440 nodes, and the slopes.
+`python -m bench.capacity.membership` prints bytes, datagrams, CPU time and
+memory for each node at 12, 50, 100, 200 and 440 nodes, and the slopes.
 """
 
 import random
@@ -23,19 +23,22 @@
 LEASE_S = 4.0
 _UDP_BYTES = 28
 _PERIODS = 6
-_PERIODS_MANY = 2
-_MANY = 200
+_PERIODS_LARGE = 2
+_LARGE_SIZE = 200
 
 
 class Cost(NamedTuple):
-    """What one node sends, receives, computes and keeps."""
+    """Cost of one node: traffic sent, share of a core and memory.
+
+    `ended_leases` counts records of the whole system that expired.
+    """
 
     nodes: int
     sent_bytes_s: float
     datagrams_s: float
     cpu_share: float
     memory_bytes: float
-    lapsed: int
+    ended_leases: int
 
 
 def _instance(number: int) -> messages.Instance:
@@ -72,13 +75,13 @@
     )
 
 
-class _Nodes:
-    """Nodes that know one another already, and the wire between them."""
+class _GossipSystem:
+    """Nodes with full directories, joined by the codec of datagrams."""
 
     def __init__(self, size: int) -> None:
         self.size = size
         self.now = 0.0
-        self.sent_bytes = self.sent = self.lapsed = 0
+        self.sent_bytes = self.sent_datagrams = self.ended_leases = 0
         self.rng = random.Random(1)
         self.instances = [_instance(number) for number in range(size)]
         self.servers = [
@@ -86,41 +89,52 @@
             for number in range(size * SERVERS_PER_NODE)
         ]
         self.nodes: dict[str, gossip_protocol.GossipProtocol] = {}
-        for me in self.instances:
-            self.nodes[me.gossip_address] = self.start(me)
-
-    def start(self, me: messages.Instance) -> gossip_protocol.GossipProtocol:
-        """Return a node that knows everything."""
-        seeds = [one.gossip_address for one in self.instances[:3]]
-        rng = random.Random(me.name)
-        known = directory.Directory(LEASE_S)
+        for instance in self.instances:
+            self.nodes[instance.gossip_address] = self.start(instance)
+
+    def start(
+        self, instance: messages.Instance
+    ) -> gossip_protocol.GossipProtocol:
+        """Return a node whose directory has all instances and servers."""
+        seeds = [seed.gossip_address for seed in self.instances[:3]]
+        rng = random.Random(instance.name)
+        empty_directory = directory.Directory(LEASE_S)
         node = gossip_protocol.GossipProtocol(
-            me, seeds, known, LEASE_S, rng, 0.0
+            instance, seeds, empty_directory, LEASE_S, rng, 0.0
         )
         for server in self.servers:
-            if server.monitor == me.name:
+            if server.monitor == instance.name:
                 node.announce(server._replace(monitor=""), 0.0)
-        everything = messages.Datagram(
+        full_directory = messages.Datagram(
             "start", 7, tuple(self.instances), tuple(self.servers), part=0,
             parts=1,
         )  # fmt: skip
-        node.receive(everything, 0.0)
+        node.receive(full_directory, 0.0)
         return node
 
-    def period(self) -> None:
-        """Let every node and server speak once, and deliver it all."""
+    def run_period(self) -> None:
+        """Run one gossip period of all nodes and deliver all datagrams.
+
+        In each second period all servers announce themselves.
+        """
         queue = []
         if round(self.now / gossip_protocol.PERIOD_S) % 2 == 0:
             for number, server in enumerate(self.servers):
-                word = server._replace(sequence=2 + round(self.now), monitor="")
-                at = self.instances[number % self.size].gossip_address
-                queue += self.nodes[at].announce(word, self.now)
+                announcement = server._replace(
+                    sequence=2 + round(self.now), monitor=""
+                )
+                monitor_address = self.instances[
+                    number % self.size
+                ].gossip_address
+                queue += self.nodes[monitor_address].announce(
+                    announcement, self.now
+                )
         for node in self.nodes.values():
             effects = node.tick(self.now)
-            self.lapsed += sum(
-                isinstance(one, effects_module.Changed)
-                and one.state == "lease-ended"
-                for one in effects
+            self.ended_leases += sum(
+                isinstance(emitted, effects_module.Changed)
+                and emitted.state == "lease-ended"
+                for emitted in effects
             )
             queue += effects
         while queue:
@@ -128,59 +142,59 @@
             if not isinstance(effect, effects_module.Send):
                 continue
             for data in datagram_wire.encode(effect.datagram):
-                self.sent += 1
+                self.sent_datagrams += 1
                 self.sent_bytes += len(data) + _UDP_BYTES
-                to = self.nodes[effect.address]
-                queue += to.receive(datagram_wire.decode(data), self.now)
+                receiver = self.nodes[effect.address]
+                queue += receiver.receive(datagram_wire.decode(data), self.now)
         self.now += gossip_protocol.PERIOD_S
 
 
 def cost(size: int) -> Cost:
-    """Return the cost for each of `size` nodes."""
-    world = _Nodes(size)
-    periods = _PERIODS if size <= _MANY else _PERIODS_MANY
+    """Return the mean cost for each of `size` nodes."""
+    system = _GossipSystem(size)
+    periods = _PERIODS if size <= _LARGE_SIZE else _PERIODS_LARGE
     for _ in range(periods):
-        world.period()
-    sent, count = world.sent_bytes, world.sent
-    began = time.process_time()
+        system.run_period()
+    bytes_before, datagrams_before = system.sent_bytes, system.sent_datagrams
+    started_at = time.process_time()
     for _ in range(periods):
-        world.period()
-    cpu_s = time.process_time() - began
+        system.run_period()
+    cpu_s = time.process_time() - started_at
     seconds = periods * gossip_protocol.PERIOD_S * size
     tracemalloc.start()
-    before = tracemalloc.get_traced_memory()[0]
-    kept = world.start(world.instances[0])
-    memory = tracemalloc.get_traced_memory()[0] - before
+    memory_before = tracemalloc.get_traced_memory()[0]
+    node = system.start(system.instances[0])
+    memory_bytes = tracemalloc.get_traced_memory()[0] - memory_before
     tracemalloc.stop()
-    assert kept.synced
+    assert node.synced
     return Cost(
         size,
-        (world.sent_bytes - sent) / seconds,
-        (world.sent - count) / seconds,
+        (system.sent_bytes - bytes_before) / seconds,
+        (system.sent_datagrams - datagrams_before) / seconds,
         cpu_s / seconds,
-        memory,
-        world.lapsed,
+        memory_bytes,
+        system.ended_leases,
     )
 
 
 def _slopes(costs: list[Cost]) -> list[slopes.Slope]:
-    kinds = (
-        ("bytes/s sent", [one.sent_bytes_s for one in costs]),
-        ("share of a core", [one.cpu_share for one in costs]),
-        ("bytes of memory", [one.memory_bytes for one in costs]),
+    values_by_cost = (
+        ("bytes/s sent", [node_cost.sent_bytes_s for node_cost in costs]),
+        ("share of a core", [node_cost.cpu_share for node_cost in costs]),
+        ("bytes of memory", [node_cost.memory_bytes for node_cost in costs]),
     )
     return [
         slopes.fit(
             "membership",
-            kind,
+            cost_name,
             "nodes",
             [
-                slopes.Point(one.nodes, value)
-                for one, value in zip(costs, values, strict=True)
+                slopes.Point(node_cost.nodes, value)
+                for node_cost, value in zip(costs, values, strict=True)
             ],
             COMMAND,
         )
-        for kind, values in kinds
+        for cost_name, values in values_by_cost
     ]
 
 
@@ -194,12 +208,14 @@
     print("nodes  sent B/s  datagrams/s  core %  memory kB  lapsed")
     costs = []
     for size in SIZES:
-        one = cost(size)
-        costs.append(one)
+        node_cost = cost(size)
+        costs.append(node_cost)
         print(
-            f"{size:5}  {one.sent_bytes_s:8.0f}  {one.datagrams_s:11.1f}"
-            f"  {one.cpu_share * 100:6.2f}  {one.memory_bytes / 1e3:9.0f}"
-            f"  {one.lapsed:6}",
+            f"{size:5}  {node_cost.sent_bytes_s:8.0f}"
+            f"  {node_cost.datagrams_s:11.1f}"
+            f"  {node_cost.cpu_share * 100:6.2f}"
+            f"  {node_cost.memory_bytes / 1e3:9.0f}"
+            f"  {node_cost.ended_leases:6}",
             flush=True,
         )
     for slope in _slopes(costs):
--- a/bench/capacity/memory.py
+++ b/bench/capacity/memory.py
@@ -1,4 +1,4 @@
-"""Resident size of the programs, and what their control parts add."""
+"""Resident memory of the programs and of the modules for control."""
 
 import subprocess
 import sys
@@ -8,7 +8,7 @@
 _COMMAND = "python -m bench.capacity --part memory"
 _KB_PER_MB = 1024
 
-# Each stage loads what the one before does, and more.
+# Each stage up to an entry's code imports more than the one before it.
 _STAGES = (
     ("bare Python", ""),
     ("trio, msgspec", "import trio, msgspec"),
@@ -31,18 +31,18 @@
 
 
 def resident_mb(code: str) -> float:
-    """Return the resident size of a Python that ran `code`, in MB."""
-    done = subprocess.run(
+    """Return the resident memory in MiB of a Python process that ran `code`."""
+    completed = subprocess.run(
         (sys.executable, "-c", code + _PRINT),
         check=True,
         capture_output=True,
         text=True,
     )
-    return int(done.stdout) / _KB_PER_MB
+    return int(completed.stdout) / _KB_PER_MB
 
 
 def figures() -> list[slopes.Figure]:
-    """Return the resident size of each stage."""
+    """Return the resident memory of each stage."""
     return [
         slopes.Figure("memory", f"{name}, MB", resident_mb(code), _COMMAND)
         for name, code in _STAGES
--- a/bench/capacity/page.py
+++ b/bench/capacity/page.py
@@ -1,4 +1,4 @@
-"""The generated parts of docs/CAPACITY.md."""
+"""The generated blocks of docs/CAPACITY.md."""
 
 import pathlib
 import re
@@ -14,7 +14,7 @@
 
 
 def slopes_table(measured: store.Measured) -> str:
-    """Return the measured slopes as a table."""
+    """Return the measured slopes as a Markdown table."""
     lines = [
         "| part | cost | per | slope | at none | points | worst | command |",
         "| --- | --- | --- | --- | --- | --- | --- | --- |",
@@ -30,7 +30,7 @@
 
 
 def figures_table(measured: store.Measured) -> str:
-    """Return the measured figures as a table."""
+    """Return the measured figures as a Markdown table."""
     lines = ["| part | what | figure | command |", "| --- | --- | --- | --- |"]
     for part in sorted(measured.figures):
         for figure in measured.figures[part]:
@@ -42,12 +42,12 @@
 
 
 def today_table(measured: store.Measured) -> str:
-    """Return the costs at today's size."""
+    """Return the costs at today's size as a Markdown table."""
     return roles.table(measured, sizes.TODAY)
 
 
 def grown_table(measured: store.Measured) -> str:
-    """Return the costs at the size to grow to."""
+    """Return the costs at the planned size as a Markdown table."""
     return roles.table(measured, sizes.GROWN)
 
 
@@ -60,22 +60,22 @@
 
 
 def render(measured: store.Measured, text: str) -> str:
-    """Return the page's text with every generated block made anew."""
+    """Return the text of a page with every generated block replaced."""
 
-    def block(match: re.Match[str]) -> str:
+    def render_block(match: re.Match[str]) -> str:
         name = match.group(1)
         return _BLOCK.format(name=name, text=_TABLES[name](measured))
 
-    return _BLOCKS.sub(block, text)
+    return _BLOCKS.sub(render_block, text)
 
 
 def write(measured: store.Measured) -> None:
-    """Write the page's generated blocks."""
+    """Update the generated blocks of the page."""
     text = PAGE.read_text(encoding="utf-8")
     PAGE.write_text(render(measured, text), encoding="utf-8")
 
 
 def is_current(measured: store.Measured) -> bool:
-    """Return whether the page says what was measured."""
+    """Return whether the page agrees with the measurements."""
     text = PAGE.read_text(encoding="utf-8")
     return render(measured, text) == text
--- a/bench/capacity/placement.py
+++ b/bench/capacity/placement.py
@@ -1,7 +1,7 @@
-"""Cost of granting slots: processor time and bytes for each request.
+"""Cost of granting slots: CPU time and bytes for each request.
 
-`python -m bench.capacity.placement` drives a holder and a grantor in one
-process, through the wire's codec, and prints cost against servers in a pool.
+`python -m bench.capacity.placement` runs a holder and a grantor in one process,
+joined by the codec of datagrams, and prints the cost by servers in a pool.
 """
 
 import random
@@ -33,57 +33,63 @@
     )  # fmt: skip
 
 
-class _Pair:
-    """A holder and a grantor, joined by the codec."""
+class _HolderAndGrantor:
+    """A holder and a grantor, joined by the codec of datagrams."""
 
     def __init__(self, servers: int) -> None:
-        self.me = messages.Member("entry-001", 1_760_000_000_000)
-        other = messages.Member("entry-002", 1_760_000_000_000)
+        self.holder_member = messages.Member("entry-001", 1_760_000_000_000)
+        grantor_member = messages.Member("entry-002", 1_760_000_000_000)
         rng = random.Random(1)
-        won = election.WonTerm(7, {}, frozenset())
+        won_term = election.WonTerm(7, {}, frozenset())
         self.grantor = grantor.Grantor(
-            won, _KEY, health.HealthTracker(0.0), rng, 0.0
+            won_term, _KEY, health.HealthTracker(0.0), rng, 0.0
         )
-        words = tuple(_server(number) for number in range(servers))
-        self.pool = grantor.PoolServers(_POOL, words)
+        server_records = tuple(_server(number) for number in range(servers))
+        self.pool = grantor.PoolServers(_POOL, server_records)
         self.grantor.refresh(self.pool, 0.0)
         self.holder = holder.Holder(
-            self.me, "dar-1", lambda _: other.name, lambda _: True, rng
+            self.holder_member,
+            "dar-1",
+            lambda _: grantor_member.name,
+            lambda _: True,
+            rng,
         )
-        self._beat = messages.GrantorHeartbeat(_KEY, 7, other, False)
-        self.beat(0.0)
+        self._heartbeat = messages.GrantorHeartbeat(
+            _KEY, 7, grantor_member, False
+        )
+        self.deliver_heartbeat(0.0)
         self.bytes = 0
         self.messages = 0
         self.grants: list[messages.Grant] = []
 
-    def beat(self, now: float) -> None:
-        """Let the grantor be heard."""
-        self.holder.handle_heartbeat(self._beat, now)
+    def deliver_heartbeat(self, now: float) -> None:
+        """Deliver a heartbeat of the grantor to the holder."""
+        self.holder.handle_heartbeat(self._heartbeat, now)
 
-    def wire(self, message: messages.Message) -> messages.Message:
-        """Pass a message through the codec."""
+    def transmit(self, message: messages.Message) -> messages.Message:
+        """Encode and decode a message; count its bytes."""
         data = datagram_wire.encode_message("entry-001", message)
         self.bytes += len(data) + _UDP_BYTES
         self.messages += 1
-        parcel = datagram_wire.decode(data)
-        assert isinstance(parcel, datagram_wire.ReceivedMessage)
-        return parcel.message
+        received = datagram_wire.decode(data)
+        assert isinstance(received, datagram_wire.ReceivedMessage)
+        return received.message
 
-    def ask(self, number: int, now: float) -> None:
-        """Ask for a slot and take the grant."""
+    def acquire(self, number: int, now: float) -> None:
+        """Request a slot and handle the grant."""
         region = messages.Region("dar", False)
         req = messages.Request(
             str(number), "ledger", (region,), 5, now + 5.0, ()
         )
         for effect in self.holder.acquire(number, req, now):
             assert isinstance(effect, messages.Send)
-            ask = self.wire(effect.message)
-            assert isinstance(ask, messages.SlotRequest)
-            for answer in self.grantor.handle_request(ask, now):
+            slot_request = self.transmit(effect.message)
+            assert isinstance(slot_request, messages.SlotRequest)
+            for answer in self.grantor.handle_request(slot_request, now):
                 assert isinstance(answer, messages.Send)
-                self._take(self.wire(answer.message), now)
+                self._handle_granted(self.transmit(answer.message), now)
 
-    def _take(self, message: messages.Message, now: float) -> None:
+    def _handle_granted(self, message: messages.Message, now: float) -> None:
         assert isinstance(message, messages.SlotGranted), message
         for effect in self.holder.handle_granted("entry-002", message, now):
             assert isinstance(effect, messages.Answer)
@@ -91,42 +97,42 @@
             self.grants.append(effect.result)
 
     def release(self, now: float) -> None:
-        """Give the oldest slot back."""
-        done = messages.AttemptResult("answered", 0.05)
+        """Release the slot that was granted first."""
+        result = messages.AttemptResult("answered", 0.05)
         grant = self.grants.pop(0)
-        for effect in self.holder.release(grant, done, now):
+        for effect in self.holder.release(grant, result, now):
             assert isinstance(effect, messages.Send)
-            release = self.wire(effect.message)
+            release = self.transmit(effect.message)
             assert isinstance(release, messages.SlotRelease)
             self.grantor.release(release, now)
 
 
 def cost(servers: int) -> tuple[float, float, float]:
-    """Return seconds, bytes and messages for each request."""
-    pair = _Pair(servers)
-    pair.beat(1.0)
-    busy = int(servers * 3 * _LOAD)
-    for number in range(busy):
-        pair.ask(number, 1.0)
-    pair.bytes = pair.messages = 0
-    began = time.process_time()
+    """Return CPU seconds, bytes and messages for each request."""
+    endpoints = _HolderAndGrantor(servers)
+    endpoints.deliver_heartbeat(1.0)
+    busy_slots = int(servers * 3 * _LOAD)
+    for number in range(busy_slots):
+        endpoints.acquire(number, 1.0)
+    endpoints.bytes = endpoints.messages = 0
+    started_at = time.process_time()
     for number in range(REQUESTS):
         now = 1.0 + number * 0.001
         if number % 500 == 0:
-            pair.beat(now)
-        pair.release(now)
-        pair.ask(busy + number, now)
-    took = time.process_time() - began
+            endpoints.deliver_heartbeat(now)
+        endpoints.release(now)
+        endpoints.acquire(busy_slots + number, now)
+    duration_s = time.process_time() - started_at
     return (
-        took / REQUESTS,
-        pair.bytes / REQUESTS,
-        pair.messages / REQUESTS,
+        duration_s / REQUESTS,
+        endpoints.bytes / REQUESTS,
+        endpoints.messages / REQUESTS,
     )
 
 
 def measure() -> list[slopes.Slope]:
-    """Return the slope of a grant's cost against servers in the pool."""
-    points = [slopes.Point(count, cost(count)[0]) for count in SERVERS]
+    """Return the slope of a grant's cost by servers in the pool."""
+    points = [slopes.Point(servers, cost(servers)[0]) for servers in SERVERS]
     return [
         slopes.fit(
             "placement",
@@ -141,9 +147,12 @@
 def main() -> None:
     """Print the table and the slope."""
     print("servers  us/request (both ends)  bytes/request  messages/request")
-    for count in SERVERS:
-        seconds, size, number = cost(count)
-        print(f"{count:7}  {seconds * 1e6:22.0f}  {size:13.0f}  {number:16.2f}")
+    for servers in SERVERS:
+        cpu_s, sent_bytes, message_count = cost(servers)
+        print(
+            f"{servers:7}  {cpu_s * 1e6:22.0f}  {sent_bytes:13.0f}"
+            f"  {message_count:16.2f}"
+        )
     for slope in measure():
         print(
             f"{slope.cost}: {slope.intercept:.4g} + {slope.slope:.4g} for each"
--- a/bench/capacity/roles.py
+++ b/bench/capacity/roles.py
@@ -1,4 +1,4 @@
-"""What each part of each role costs at a size, from the measured slopes."""
+"""Cost of each part of each role at a size, computed from the slopes."""
 
 from typing import NamedTuple
 
@@ -9,12 +9,12 @@
 _DAY_S = 86_400.0
 _MB = 1_000_000.0
 _POOLS = 4
-# A point this near to the size asked for is taken in place of the line.
-_NEAR = 0.1
+# A point measured within this share of a size is used instead of the line.
+_POINT_TOLERANCE = 0.1
 
 
 class Row(NamedTuple):
-    """Cost of one part at a node; None is not measured or not kept."""
+    """Cost of one part at a node; None if not measured or not applicable."""
 
     role: str
     part: str
@@ -26,31 +26,37 @@
 
 
 def cost_at(slope: slopes.Slope, x: float) -> float:
-    """Return the cost at `x`: a point measured there, else the line."""
+    """Return the cost at `x`: that of a point near it, else of the line."""
     for point in slope.points:
-        if abs(point.x - x) <= _NEAR * x:
+        if abs(point.x - x) <= _POINT_TOLERANCE * x:
             return point.y
     return max(0.0, slope.predict(x))
 
 
 def entry_rows(measured: store.Measured, size: sizes.Size) -> list[Row]:
-    """Return what control costs an entry."""
+    """Return the cost of control at an entry."""
     nodes = float(size.nodes)
-    gossip = cost_at(measured.slope("membership", "bytes/s sent"), nodes)
-    gossip_cpu = cost_at(measured.slope("membership", "share of a core"), nodes)
-    directory = cost_at(measured.slope("membership", "bytes of memory"), nodes)
+    gossip_bytes_s = cost_at(
+        measured.slope("membership", "bytes/s sent"), nodes
+    )
+    gossip_core = cost_at(
+        measured.slope("membership", "share of a core"), nodes
+    )
+    directory_bytes = cost_at(
+        measured.slope("membership", "bytes of memory"), nodes
+    )
     idle = measured.slope("distribution", "% of a core").slope
-    idle_bytes = measured.slope("distribution", "bytes/s").slope
+    idle_bytes_s = measured.slope("distribution", "bytes/s").slope
     step_us = cost_at(measured.slope("steering", "CPU of a step"), _POOLS)
-    roster_us = cost_at(measured.slope("lookup", "CPU of a check"), nodes)
+    check_us = cost_at(measured.slope("lookup", "CPU of a check"), nodes)
     return [
         Row(
             "entry",
             "membership (sent and received)",
-            directory,
+            directory_bytes,
             None,
-            2 * gossip,
-            gossip_cpu * 100,
+            2 * gossip_bytes_s,
+            gossip_core * 100,
             "gossip with a fixed fan-out",
         ),
         Row(
@@ -58,7 +64,7 @@
             "revisions, idle (both ends)",
             float(size.state_bytes),
             None,
-            idle_bytes,
+            idle_bytes_s,
             idle,
             "held question, piggyback, pull",
         ),
@@ -68,7 +74,7 @@
             None,
             size.changes_per_day / _DAY_S,
             _change_bytes(measured) * size.changes_per_day / _DAY_S,
-            _change_core(measured) * size.changes_per_day / _DAY_S,
+            _change_core_percent(measured) * size.changes_per_day / _DAY_S,
             "differences under a digest",
         ),
         Row(
@@ -86,44 +92,44 @@
             None,
             0.0,
             0.0,
-            max(0.0, roster_us) * 1e-4,
+            max(0.0, check_us) * 1e-4,
             "arranged anew only when it changed",
         ),
     ]
 
 
 def _change_bytes(measured: store.Measured) -> float:
-    lines = measured.slopes["distribution"]
+    measured_slopes = measured.slopes["distribution"]
     return next(
-        line.slope
-        for line in lines
-        if line.cost == "bytes/s" and line.per == "change a second"
+        slope.slope
+        for slope in measured_slopes
+        if slope.cost == "bytes/s" and slope.per == "change a second"
     )
 
 
-def _change_core(measured: store.Measured) -> float:
-    lines = measured.slopes["distribution"]
+def _change_core_percent(measured: store.Measured) -> float:
+    measured_slopes = measured.slopes["distribution"]
     return next(
-        line.slope
-        for line in lines
-        if line.cost == "% of a core" and line.per == "change a second"
+        slope.slope
+        for slope in measured_slopes
+        if slope.cost == "% of a core" and slope.per == "change a second"
     )
 
 
 def control_rows(measured: store.Measured, size: sizes.Size) -> list[Row]:
-    """Return what one control instance costs, set aside for control."""
+    """Return the cost at one control instance, which does control alone."""
     members = size.control_instances
     idle = f"idle register, one of {members}:"
     edit_ms = measured.slope("control", "CPU of an edit").predict(
         size.state_bytes
     )
     edit_bytes = measured.slope("control", "bytes of an edit")
-    # Measured over three members, of which two are sent the value.
-    copy = edit_bytes.predict(size.state_bytes) / 2
-    per_s = size.changes_per_day / _DAY_S
-    share = size.nodes / members
-    line = measured.slope("distribution", "% of a core").slope
-    bytes_line = measured.slope("distribution", "bytes/s").slope
+    # Measured with three members, of which the value is sent to two.
+    value_copy_bytes = edit_bytes.predict(size.state_bytes) / 2
+    changes_per_s = size.changes_per_day / _DAY_S
+    entries_per_member = size.nodes / members
+    percent_per_entry = measured.slope("distribution", "% of a core").slope
+    bytes_s_per_entry = measured.slope("distribution", "bytes/s").slope
     return [
         Row(
             "control instance",
@@ -138,29 +144,29 @@
             "control instance",
             "edits (as the one that proposes all)",
             None,
-            4 * (members - 1) * per_s,
-            copy * (members - 1) * per_s,
-            edit_ms / 3 * per_s / 10 * (members - 1) / 2,
+            4 * (members - 1) * changes_per_s,
+            value_copy_bytes * (members - 1) * changes_per_s,
+            edit_ms / 3 * changes_per_s / 10 * (members - 1) / 2,
             "whole value in a round, two round trips",
         ),
         Row(
             "control instance",
-            f"revisions to {share:.0f} entries (both ends)",
+            f"revisions to {entries_per_member:.0f} entries (both ends)",
             None,
             None,
-            bytes_line * share,
-            line * share,
+            bytes_s_per_entry * entries_per_member,
+            percent_per_entry * entries_per_member,
             "held questions, a 7th of the entries each",
         ),
     ]
 
 
 def service_rows(measured: store.Measured, size: sizes.Size) -> list[Row]:
-    """Return what look-ups and grants cost, which are no control."""
-    lookups = size.lookups_per_s / size.nodes
-    per_lookup = measured.slope("datapath", "look-ups").slope
-    blocks = measured.slope("lookup", "memory of client blocks")
-    grants = size.requests_per_s / (size.regions * _POOLS)
+    """Return the cost of look-ups and grants, which don't count as control."""
+    lookups_per_s = size.lookups_per_s / size.nodes
+    percent_per_lookup = measured.slope("datapath", "look-ups").slope
+    block_memory = measured.slope("lookup", "memory of client blocks")
+    grants_per_s = size.requests_per_s / (size.regions * _POOLS)
     servers = size.servers / (size.regions * _POOLS)
     grant_s = measured.slope("placement", "seconds of processor").predict(
         servers
@@ -168,52 +174,52 @@
     return [
         Row(
             "entry",
-            f"look-ups, {lookups:.0f} a second",
-            blocks.predict(size.client_blocks),
-            lookups,
+            f"look-ups, {lookups_per_s:.0f} a second",
+            block_memory.predict(size.client_blocks),
+            lookups_per_s,
             None,
-            per_lookup * lookups,
+            percent_per_lookup * lookups_per_s,
             "table of client blocks, ranking kept",
         ),
         Row(
             "granting entry",
-            f"{grants:.0f} grants a second over {servers:.0f} servers",
+            f"{grants_per_s:.0f} grants a second over {servers:.0f} servers",
             None,
-            3 * grants,
-            340 * grants,
-            grant_s * grants * 100,
+            3 * grants_per_s,
+            340 * grants_per_s,
+            grant_s * grants_per_s * 100,
             "one entry per pool and region grants slots",
         ),
     ]
 
 
 def table(measured: store.Measured, size: sizes.Size) -> str:
-    """Return the costs of every role at a size as a table."""
+    """Return the costs of all roles at a size as a Markdown table."""
     lines = [
         "| role | part | state | messages/s | bytes/s | % of a core"
         " | mechanism |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ]
-    entry = entry_rows(measured, size)
-    lines += [_line(row) for row in entry]
-    lines.append(_total(entry))
-    lines += [_line(row) for row in control_rows(measured, size)]
-    lines += [_line(row) for row in service_rows(measured, size)]
+    entry_costs = entry_rows(measured, size)
+    lines += [_format_row(row) for row in entry_costs]
+    lines.append(_format_total(entry_costs))
+    lines += [_format_row(row) for row in control_rows(measured, size)]
+    lines += [_format_row(row) for row in service_rows(measured, size)]
     return "\n".join(lines)
 
 
-def _total(rows: list[Row]) -> str:
+def _format_total(rows: list[Row]) -> str:
     budget = sizes.BUDGET
     core = sum(row.core_percent or 0.0 for row in rows)
-    sent = sum(row.bytes_s or 0.0 for row in rows)
+    bytes_s = sum(row.bytes_s or 0.0 for row in rows)
     return (
-        f"| **entry** | **control in all** | | | **{sent:,.0f}** of"
+        f"| **entry** | **control in all** | | | **{bytes_s:,.0f}** of"
         f" {budget.bytes_per_s:,.0f} | **{core:.2f}** of"
         f" {budget.core_share * 100:.1f} | |"
     )
 
 
-def _line(row: Row) -> str:
+def _format_row(row: Row) -> str:
     cells = (
         row.role,
         row.part,
--- a/bench/capacity/sizes.py
+++ b/bench/capacity/sizes.py
@@ -1,10 +1,10 @@
-"""The two sizes that docs/CAPACITY.md is worked out for."""
+"""The two system sizes for which docs/CAPACITY.md states costs."""
 
 from typing import NamedTuple
 
 
 class Size(NamedTuple):
-    """One deployment, and what may be spent on control at each node."""
+    """Size of a system: its nodes, servers, load and state."""
 
     name: str
     nodes: int
@@ -21,7 +21,7 @@
 
 
 class Budget(NamedTuple):
-    """What the users allow a node to spend on control."""
+    """Limits that the users set for the cost of control at a node."""
 
     core_share: float = 0.033
     memory_mb: float = 32.0
@@ -31,7 +31,7 @@
 
 
 TODAY = Size(
-    name="today (Recarga Andina)",
+    name="today",
     nodes=12,
     control_instances=3,
     regions=3,
@@ -45,9 +45,10 @@
     state_bytes=4_000,
 )
 
-# The letter gives nodes, blocks, sites, look-ups, regions, failure domains and
-# changes. Servers (about 30 a site), requests (one for each look-up) and state
-# (about 4 KB of rows a site) are assumptions of ours, named as such on the page.
+# The users gave the numbers of nodes, client blocks, sites, look-ups, regions,
+# failure domains and changes. Servers (about 30 a site), requests (one for each
+# look-up) and state (about 4 KB of rows a site) are assumptions, which the page
+# states as such.
 GROWN = Size(
     name="in two years",
     nodes=440,
--- a/bench/capacity/slopes.py
+++ b/bench/capacity/slopes.py
@@ -1,4 +1,4 @@
-"""A measured slope: how a cost grows with a quantity."""
+"""Measured costs: lines fitted to cost by quantity, and single figures."""
 
 from collections.abc import Sequence
 import statistics
@@ -6,7 +6,7 @@
 
 
 class Point(NamedTuple):
-    """One measured point."""
+    """A measured cost `y` at the quantity `x`."""
 
     x: float
     y: float
@@ -15,10 +15,10 @@
 class Slope(NamedTuple):
     """A straight line fitted to measured points.
 
-    `part` names the part that pays, `cost` what it pays and in which unit,
-    `per` the quantity on the x axis; `slope` is cost for one more of `per` and
-    `intercept` the cost at none; `worst` is the largest distance of a point
-    from the line, as a share of the point.
+    `part` names the part of the system, `cost` its cost with the unit, and
+    `per` the quantity on the x axis. `slope` is the cost of one more of `per`,
+    `intercept` the cost at zero, and `max_relative_error` the largest distance
+    of a point from the line, as a share of the point. `command` measures it.
     """
 
     part: str
@@ -31,19 +31,19 @@
     command: str
 
     def predict(self, x: float) -> float:
-        """Return the cost that the line gives at `x`."""
+        """Return the cost at `x` by the fitted line."""
         return self.intercept + self.slope * x
 
 
 def fit(
     part: str, cost: str, per: str, points: Sequence[Point], command: str
 ) -> Slope:
-    """Return the line of least squares through two or more points."""
+    """Fit a line to two or more points by least squares."""
     xs = [point.x for point in points]
     ys = [point.y for point in points]
-    line = statistics.linear_regression(xs, ys)
+    regression = statistics.linear_regression(xs, ys)
     max_relative_error = max(
-        abs(line.slope * point.x + line.intercept - point.y)
+        abs(regression.slope * point.x + regression.intercept - point.y)
         / max(abs(point.y), 1e-12)
         for point in points
     )
@@ -51,8 +51,8 @@
         part,
         cost,
         per,
-        line.slope,
-        line.intercept,
+        regression.slope,
+        regression.intercept,
         max_relative_error,
         tuple(points),
         command,
@@ -60,7 +60,7 @@
 
 
 class Figure(NamedTuple):
-    """A measured figure that grows with nothing; the unit is in `cost`."""
+    """A measured cost that depends on no quantity; `cost` has its unit."""
 
     part: str
     cost: str
--- a/bench/capacity/steering.py
+++ b/bench/capacity/steering.py
@@ -1,4 +1,4 @@
-"""Cost of deciding where a request goes, and of a step of the shares."""
+"""Cost of a steering decision and of a step of the traffic shares."""
 
 import time
 
@@ -18,48 +18,59 @@
 
 
 def _tables(pools):
-    rows = "\n".join(
+    route_rows = "\n".join(
         f"  - {{name: r{n}, host: h{n}, path_prefix: /, pool: p{n}}}"
         for n in range(pools)
     )
-    held = "\n".join(f"  - {{name: p{n}, slots: 3}}" for n in range(pools))
-    return tables.parse(f"routes:\n{rows}\npools:\n{held}\n")
+    pool_rows = "\n".join(f"  - {{name: p{n}, slots: 3}}" for n in range(pools))
+    return tables.parse(f"routes:\n{route_rows}\npools:\n{pool_rows}\n")
 
 
-def _us(call, count):
-    began = time.process_time()
+def _mean_cpu_us(function, count):
+    started_at = time.process_time()
     for number in range(count):
-        call(number)
-    return (time.process_time() - began) / count * 1e6
+        function(number)
+    return (time.process_time() - started_at) / count * 1e6
 
 
 def _step_us(pools):
-    first = _tables(pools)
-    drained = first._replace(
+    initial_tables = _tables(pools)
+    drained_tables = initial_tables._replace(
         pools=tuple(
             pool._replace(drains=tables.Drains(regions=("a",)))
-            for pool in first.pools
+            for pool in initial_tables.pools
         )
     )
-    held = shares.TrafficShares()
-    held.install(state.State(first), 0.0, 0.0)
-    held.install(plans.after_edit(state.State(first), drained, 0.0), 1.0, 0.0)
-    ready = {pool.name: frozenset("abc") for pool in first.pools}
-    return _us(lambda n: held.step(1 + n * 0.2, n * 0.2, ready), _STEPS)
+    traffic_shares = shares.TrafficShares()
+    traffic_shares.install(state.State(initial_tables), 0.0, 0.0)
+    traffic_shares.install(
+        plans.after_edit(state.State(initial_tables), drained_tables, 0.0),
+        1.0,
+        0.0,
+    )
+    ready = {pool.name: frozenset("abc") for pool in initial_tables.pools}
+    return _mean_cpu_us(
+        lambda n: traffic_shares.step(1 + n * 0.2, n * 0.2, ready), _STEPS
+    )
 
 
 def _decide_us(count):
     names = tuple(f"region-{n}" for n in range(count))
-    first = shift_simulation.with_weights(_tables(1), dict.fromkeys(names, 1.0))
-    held = shares.TrafficShares()
-    held.install(state.State(first), 0.0, 0.0)
-    held.step(0.1, 0.1, {"p0": frozenset(names)})
-    place = regions.SteeringContext(names[0], names, {})
-    return _us(lambda n: held.decide(first.routes[0], place, f"{n}"), _CALLS)
+    initial_tables = shift_simulation.with_weights(
+        _tables(1), dict.fromkeys(names, 1.0)
+    )
+    traffic_shares = shares.TrafficShares()
+    traffic_shares.install(state.State(initial_tables), 0.0, 0.0)
+    traffic_shares.step(0.1, 0.1, {"p0": frozenset(names)})
+    ctx = regions.SteeringContext(names[0], names, {})
+    return _mean_cpu_us(
+        lambda n: traffic_shares.decide(initial_tables.routes[0], ctx, f"{n}"),
+        _CALLS,
+    )
 
 
 def measure():
-    """Return the slopes."""
+    """Return the slopes of CPU by pools and by regions."""
     steps = [slopes.Point(n, _step_us(n)) for n in _POOLS]
     decisions = [slopes.Point(n, _decide_us(n)) for n in _REGIONS]
     return [
--- a/bench/capacity/store.py
+++ b/bench/capacity/store.py
@@ -1,4 +1,4 @@
-"""Measured slopes and figures, kept in one JSON file between runs."""
+"""Measured slopes and figures, stored in one JSON file."""
 
 import pathlib
 from typing import NamedTuple
@@ -11,7 +11,7 @@
 
 
 class Measured(NamedTuple):
-    """All slopes and figures of the last runs, by part."""
+    """Slopes and figures of the last run of each part, by part."""
 
     slopes: dict[str, list[slopes.Slope]]
     figures: dict[str, list[slopes.Figure]]
@@ -20,7 +20,7 @@
         """Return the slope of `part` whose cost begins with `cost`.
 
         Raises:
-            LookupError: when no run has measured it.
+            LookupError: when it has not been measured.
         """
         for slope in self.slopes.get(part, ()):
             if slope.cost.startswith(cost):
@@ -31,7 +31,7 @@
         """Return the figure of `part` whose cost begins with `cost`.
 
         Raises:
-            LookupError: when no run has measured it.
+            LookupError: when it has not been measured.
         """
         for figure in self.figures.get(part, ()):
             if figure.cost.startswith(cost):
@@ -40,13 +40,13 @@
 
 
 def load() -> Measured:
-    """Return what earlier runs have measured."""
+    """Read the results of earlier runs."""
     if not PATH.exists():
         return Measured({}, {})
     return msgspec.json.decode(PATH.read_bytes(), type=Measured)
 
 
 def save(measured: Measured) -> None:
-    """Keep what was measured."""
+    """Write the results to the file."""
     data = msgspec.json.encode(measured, order="sorted")
     PATH.write_bytes(msgspec.json.format(data, indent=1) + b"\n")
--- a/bench/placement_failover.py
+++ b/bench/placement_failover.py
@@ -34,7 +34,7 @@
     """
 
     gap_s: float
-    refused_until_restart: float
+    refused_before: float
     refused_after: float
     withheld: int
 
@@ -159,7 +159,7 @@
         gaps = [trial.gap_s for trial in trials]
         print(
             f"{case:24} {statistics.median(gaps):14.2f}  {max(gaps):5.2f}"
-            f"  {statistics.mean(o.refused_until_restart for o in trials):17.3f}"
+            f"  {statistics.mean(o.refused_before for o in trials):17.3f}"
             f"  {statistics.mean(o.refused_after for o in trials):22.3f}"
             f"  {max(o.withheld for o in trials):8}",
             flush=True,
