--- a/bench/distribution.py
+++ b/bench/distribution.py
@@ -40,7 +40,7 @@
     ("pull", "piggyback"),
     ("push", "pull", "piggyback"),
 )
-LOSSES = (0.0, 0.1, 0.3)
+LOSS_SHARES = (0.0, 0.1, 0.3)
 CONTROL_INSTANCES = 3
 TIMEOUT_S = 120.0
 # Offsets of tcpi_bytes_acked and tcpi_bytes_received in struct tcp_info.
@@ -282,7 +282,7 @@
         click.echo(f"seconds until in force at {entries} entries, {runs} runs")
         click.echo("ways | lost | median | p95 | worst | asks/s | bytes/s")
         for modes in MODE_COMBINATIONS if all_ways else MODE_COMBINATIONS[-1:]:
-            for loss in LOSSES:
+            for loss in LOSS_SHARES:
                 times = measure_propagation(seed, entries, modes, loss, runs)
                 click.echo(
                     f"{' + '.join(modes)} | {loss:.0%} | {times.median:.2f} |"
--- a/bench/link_model.py
+++ b/bench/link_model.py
@@ -16,7 +16,7 @@
 CHECK_BYTES = 2048
 CHECKS_PER_S = 2000
 UPLOADS = 60
-SECONDS = 4.0
+DURATION_S = 4.0
 
 
 def run(seed, paced, entries=10, lose_entry=False):
@@ -47,17 +47,17 @@
         for _ in range(WINDOW_BYTES // CHUNK_BYTES):
             heapq.heappush(events, (rng.random() * 0.01, rng.random(), upload))
     check_at = 0.0
-    while check_at < SECONDS:
+    while check_at < DURATION_S:
         check_at += rng.expovariate(CHECKS_PER_S)
         heapq.heappush(events, (check_at, rng.random(), None))
     admitted = set()
     while events:
         now, tie_breaker, upload = heapq.heappop(events)
-        if now > SECONDS:
+        if now > DURATION_S:
             break
         size = CHECK_BYTES if upload is None else CHUNK_BYTES
         if paced and (now, tie_breaker) not in admitted:
-            if lose_entry and now > SECONDS / 2 and len(pacers) == entries:
+            if lose_entry and now > DURATION_S / 2 and len(pacers) == entries:
                 _remove_pacer(pacers)
             index = rng.randrange(entries) if upload is None else upload
             pacer = pacers[index % len(pacers)]
@@ -73,7 +73,7 @@
         else:
             uploaded_bytes += size
             heapq.heappush(events, (link_free_at, rng.random(), upload))
-    return sorted(delays_ms), uploaded_bytes * 8 / SECONDS / 1e6
+    return sorted(delays_ms), uploaded_bytes * 8 / DURATION_S / 1e6
 
 
 def _remove_pacer(pacers):
--- a/bench/placement_failover.py
+++ b/bench/placement_failover.py
@@ -16,13 +16,13 @@
 from tests.support import fake_entries
 
 SERVICE_S = 0.2
-RATE = 0.85 * 36 / SERVICE_S
+REQUESTS_PER_S = 0.85 * 36 / SERVICE_S
 STEP_S = 0.01
-BEFORE_S = 2.0
-AFTER_S = 8.0
-RESTART_S = 5.0
+STEADY_S = 2.0
+AFTER_RESTART_S = 8.0
+RESTART_DELAY_S = 5.0
 CASES = ("leaves", "killed", "frozen", "killed, control cut off")
-KEY = messages.PoolRegion("ledger", "dar")
+POOL_REGION = messages.PoolRegion("ledger", "dar")
 
 
 class Outcome(NamedTuple):
@@ -59,7 +59,7 @@
             for name, entry in cluster.entries.items()
             if name not in cluster.dead and not entry.frozen
         ]
-        count = RATE * STEP_S
+        count = REQUESTS_PER_S * STEP_S
         arrivals = int(count) + (self.rng.random() < count % 1)
         for _ in range(arrivals):
             name = self.rng.choice(live_entries)
@@ -98,7 +98,7 @@
 def run(case: str, seed: int) -> Outcome:
     """Simulate one change of the grantor; return its outcome."""
     load = _SteadyLoad(seed)
-    load.run(BEFORE_S)
+    load.run(STEADY_S)
     cluster = load.cluster
     (old_grantor,) = cluster.grantors()
     failed_at = cluster.now
@@ -110,10 +110,10 @@
         cluster.freeze(old_grantor)
     else:
         cluster.kill(old_grantor)
-    load.run(RESTART_S)
+    load.run(RESTART_DELAY_S)
     restarted_at = cluster.now
     withheld = [
-        cluster.entries[name].node.own_grantor(KEY).ledger.withheld()
+        cluster.entries[name].node.own_grantor(POOL_REGION).ledger.withheld()
         for name in cluster.grantors()
         if name != old_grantor
     ]
@@ -122,7 +122,7 @@
     elif case != "leaves":
         cluster.heal()
         cluster.start(old_grantor)
-    load.run(AFTER_S)
+    load.run(AFTER_RESTART_S)
     return Outcome(
         _longest_gap(load.grants, failed_at),
         _refused_share(load, failed_at, restarted_at),
