--- a/bench/queue_model_policies.py
+++ b/bench/queue_model_policies.py
@@ -470,9 +470,9 @@
         )
 
     def _end_reuse(self, entry: int, server: int) -> None:
-        for position, (reusable, since) in enumerate(self._reusable[entry]):
+        for position, (kept_server, since) in enumerate(self._reusable[entry]):
             if (
-                reusable == server
+                kept_server == server
                 and self.simulation.now - since >= REUSE_S - 1e-9
             ):
                 del self._reusable[entry][position]
--- a/tests/steps/bench/load/runner_steps.py
+++ b/tests/steps/bench/load/runner_steps.py
@@ -37,10 +37,10 @@
 
 @given("a load of {rate:d} requests a second for {seconds:d} s by 1 caller")
 def _(context, rate, seconds):
-    kind = scenarios.RequestKind("read", "GET", "/{n}", 0, 1.0, False)
+    request_kind = scenarios.RequestKind("read", "GET", "/{n}", 0, 1.0, False)
     context.load_scenario = scenarios.Scenario(
         "stall", 1, "example", ("127.0.0.1:1",), False, scenarios.OPEN,
-        rate, 1, seconds, 0.0, 30.0, (kind,),
+        rate, 1, seconds, 0.0, 30.0, (request_kind,),
     )  # fmt: skip
 
 
