--- a/hyssopfold/entry/__init__.py
+++ b/hyssopfold/entry/__init__.py
@@ -1,1 +1,1 @@
-"""The data path: accept, look up, stream, answer."""
+"""An entry: serves look-ups, and forwards requests to backend servers."""
--- a/hyssopfold/entry/adapters.py
+++ b/hyssopfold/entry/adapters.py
@@ -2,7 +2,7 @@
 
 A program that embeds the daemon passes adapters to
 `application.run_entry`: the headers of the data path, and ASGI applications
-that translate requests for the objects in `EntryParts`.
+that translate requests for the components in `EntryInterfaces`.
 """
 
 from collections.abc import Callable
--- a/hyssopfold/entry/adoption.py
+++ b/hyssopfold/entry/adoption.py
@@ -30,8 +30,8 @@
     """Adopt the shares of a running entry, preferably one of this region.
 
     Otherwise an entry that restarts during a shift would depend on the plan
-    and its own clock. While traffic returns to a region that was lost, for
-    which there is no plan, it would send all of its callers back at once.
+    and its own clock. The return of traffic to a region that was lost has no
+    plan, so the entry would send all of its callers back at once.
 
     Args:
         gossip_service: Directory of the entries.
--- a/hyssopfold/entry/answers.py
+++ b/hyssopfold/entry/answers.py
@@ -1,4 +1,4 @@
-"""Interprets answers of backend servers, and refuses requests without one."""
+"""Interprets answers of backend servers, and makes refusals without one."""
 
 import httpcore
 
@@ -83,7 +83,7 @@
 
 
 def refusal(effect: events.Refuse, pool: str) -> http.Refusal:
-    """Return the refusal of a request that got no answer.
+    """Return the refusal of a request that got no answer to relay.
 
     Args:
         effect: The effect of the state machine.
@@ -91,7 +91,10 @@
     """
     retry_after_s = effect.retry_after_s
     if effect.error == "quarantined":
-        remedy = f"mend the servers of pool {pool}: several crashed under it"
+        remedy = (
+            f"repair the servers of pool {pool}: several crashed while they"
+            " ran this request"
+        )
         return http.Refusal(
             503, effect.error, effect.outcome.value, remedy, retry_after_s
         )
@@ -102,7 +105,7 @@
         remedy = "send the request again"
     else:
         status = 503
-        remedy = f"ask again later: no server of pool {pool} has a free slot"
+        remedy = f"retry later: no server of pool {pool} has a free slot"
     return http.Refusal(
         status,
         effect.error,
--- a/hyssopfold/entry/blocks.py
+++ b/hyssopfold/entry/blocks.py
@@ -42,7 +42,7 @@
     parts = [len(header).to_bytes(_LENGTH_BYTES, "big"), header]
     parts += [items.tobytes() for items in table.arrays()]
     data = b"".join(parts)
-    pathlib.Path(target).write_bytes(_digest(data).digest() + data)
+    pathlib.Path(target).write_bytes(_new_hash(data).digest() + data)
     return len(data) + _DIGEST_BYTES
 
 
@@ -66,7 +66,7 @@
     expected = file.read(_DIGEST_BYTES)
     length = file.read(_LENGTH_BYTES)
     encoded = file.read(int.from_bytes(length, "big"))
-    checksum = _digest(length)
+    checksum = _new_hash(length)
     checksum.update(encoded)
     header = msgspec.msgpack.decode(encoded, type=client_blocks.Header)
     arrays = client_blocks.empty_arrays(header)
@@ -78,7 +78,7 @@
     return client_blocks.from_arrays(header, arrays)
 
 
-def _digest(data: bytes) -> "hashlib.blake2b":
+def _new_hash(data: bytes) -> "hashlib.blake2b":
     return hashlib.blake2b(data, digest_size=_DIGEST_BYTES)
 
 
@@ -115,7 +115,8 @@
         """Apply the complete lines appended since the last call.
 
         Returns:
-            The number of changes applied; 0 if one of the lines is invalid.
+            The number of changes applied, or 0 if a line is invalid. The lines
+            before the invalid one are applied, those after it are skipped.
         """
         try:
             size = self._changes_path.stat().st_size
--- a/hyssopfold/entry/carrier.py
+++ b/hyssopfold/entry/carrier.py
@@ -142,7 +142,7 @@
         deadline_refusal = messages.Refused(
             "deadline-passed", attempt.RETRY_AFTER_S
         )
-        answer: messages.Grant | messages.Refused = deadline_refusal
+        result: messages.Grant | messages.Refused = deadline_refusal
         with trio.move_on_at(effect.deadline):
             try:
                 await self._buffer_suspected_request()
@@ -152,26 +152,26 @@
                 return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
             for avoided_ids in self._server_ids_to_avoid(effect.tried):
                 req = self._slot_request(effect, avoided_ids)
-                answer = await dependencies.placement.acquire(req, pool)
-                if isinstance(answer, messages.Grant):
+                result = await dependencies.placement.acquire(req, pool)
+                if isinstance(result, messages.Grant):
                     break
-        if isinstance(answer, messages.Refused):
-            return events.NoSlot(answer.reason, answer.retry_after_s)
+        if isinstance(result, messages.Refused):
+            return events.NoSlot(result.reason, result.retry_after_s)
         if self._is_quarantined(effect):
             # It was quarantined while it waited for the slot.
             unused_slot = messages.AttemptResult(
                 "cancelled", 0.0, connected=False
             )
-            dependencies.placement.release(answer, unused_slot)
+            dependencies.placement.release(result, unused_slot)
             return events.NoSlot("quarantined", QUARANTINED_RETRY_S)
         if not effect.tried:
             dependencies.steering.record_server(
-                pool.name, self._decision, answer.server
+                pool.name, self._decision, result.server
             )
-        self._grant = answer
+        self._grant = result
         self._granted_at = trio.current_time()
-        self._log_grant(answer, effect)
-        return events.Granted(answer.server.server_id)
+        self._log_grant(result, effect)
+        return events.Granted(result.server.server_id)
 
     async def _buffer_suspected_request(self) -> None:
         """Buffer the body for the fingerprint if the head is quarantined."""
@@ -321,8 +321,8 @@
         """Release the slot, and release or close the connection.
 
         Args:
-            kind: `answered`, which keeps the connection, `failed` or
-                `cancelled`.
+            kind: `answered`, which keeps the connection; `failed`, recorded as
+                `shed` if the server refused to run it; or `cancelled`.
         """
         grant, self._grant = self._grant, None
         if grant is None:
--- a/hyssopfold/entry/claims.py
+++ b/hyssopfold/entry/claims.py
@@ -162,7 +162,7 @@
     def settle(
         self, granted: GrantedClaim, request_id: str, outcome: str, status: int
     ) -> None:
-        """Report the outcome of a request to its holders, without waiting.
+        """Report a request's outcome to its claim's holders, without waiting.
 
         Args:
             granted: The claim that the request was granted.
@@ -263,7 +263,7 @@
                     )
 
     def _holder_names(self) -> set[str]:
-        """Return the entries of this region that may hold claims, by name."""
+        """Return the names of this region's entries that may hold claims."""
         me = self._own_record()
         others = {
             entry.name
--- a/hyssopfold/entry/configuration.py
+++ b/hyssopfold/entry/configuration.py
@@ -55,8 +55,8 @@
     """Follow the revisions of the tables and keep a snapshot of the newest.
 
     It feeds events to a follower, which decides, and executes the effects: it
-    polls other instances, installs revisions and logs reports. The parts of an
-    entry read the tables in force from its snapshot.
+    polls other instances, installs revisions and logs reports. The other
+    components of the entry read the tables in force from its snapshot.
 
     Args:
         name: Name of this entry.
@@ -110,7 +110,11 @@
 
     @property
     def is_behind(self) -> bool:
-        """Return whether a newer revision than the one in force is known."""
+        """Return whether a newer revision must still be fetched.
+
+        This is so until the first revision is received. A revision that this
+        program cannot decode counts as fetched.
+        """
         return self._follower.is_behind
 
     def set_control(self, addresses: list[str]) -> None:
--- a/hyssopfold/entry/connections.py
+++ b/hyssopfold/entry/connections.py
@@ -21,8 +21,8 @@
 KEEPALIVE_PERIOD_S = 1
 KEEPALIVE_PROBES = 3
 # A server closes a connection that was idle for the announced keep-alive time,
-# by its own clock. Using it for a part of that time only leaves time for the
-# next request to arrive.
+# by its own clock. The entry uses it only for this share of that time, so that
+# the last request on it still arrives before the server closes it.
 KEEP_ALIVE_SHARE = 0.7
 # How often a blocked upload checks whether the server has already answered.
 EARLY_ANSWER_CHECK_S = 0.25
--- a/hyssopfold/entry/dialect.py
+++ b/hyssopfold/entry/dialect.py
@@ -41,8 +41,8 @@
         private_prefix: Prefix of headers that are never forwarded.
         adds_forwarding_headers: Whether servers get `x-forwarded-for`, `-host`
             and `-proto`.
-        status_503_means_not_run: Whether callers take status 503 as the
-            guarantee that the request did not run, and no other status.
+        status_503_means_not_run: Whether callers take status 503, and no other
+            status, as the guarantee that the request did not run.
         accepts_unframed_answers: Whether the close of a connection, unless it
             is a reset, ends an answer without a length.
         misdirected_status: Status by which a server rejects a request for
--- a/hyssopfold/entry/leaving.py
+++ b/hyssopfold/entry/leaving.py
@@ -45,11 +45,11 @@
         self._hand_over = hand_over
 
     async def run(self) -> None:
-        """Stop the entry; return when no request is in flight or time is up.
+        """Stop the entry; return when no connection is open or time is up.
 
         If the stop rejects late callers, return as soon as no more callers are
-        to be accepted; the caller of this method then closes the addresses and
-        lets the remaining requests finish.
+        to be accepted; the caller of this method then stops listening and lets
+        the remaining requests finish.
         """
         began_at = trio.current_time()
         self._stop.begin(began_at)
@@ -66,7 +66,7 @@
                 handed_over = True
                 await self._hand_over()
                 if self._stop.rejects_callers:
-                    # Next the addresses are closed; requests under way finish.
+                    # Requests under way finish after this method returns.
                     break
         took_s = trio.current_time() - began_at
         logger.info(
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -31,9 +31,10 @@
 # Entries that get a report, drawn at random for each report: bounds the number
 # of messages in a large region.
 MAX_SILENCE_REPORT_RECEIVERS = 24
-# Time during which loads of busy servers are collected into one report, and the
-# number of entries of the failure domain on each side that get it.
+# Time during which loads of busy servers are collected into one report.
 BUSY_BATCH_S = 0.1
+# Entries that get this report on each side of this entry, in a ring of the
+# failure domain's entries ordered by name.
 NEIGHBOURS_EACH_SIDE = 4
 # Servers in one datagram, of 5 bytes each; no region has more silent or busy
 # servers at the same time.
--- a/hyssopfold/entry/placement.py
+++ b/hyssopfold/entry/placement.py
@@ -116,7 +116,7 @@
     async def _receive(self) -> None:
         received: datagram_wire.ReceivedMessage
         async for received in self._gossip.received_messages:
-            # Quarantine updates have a channel of their own.
+            # Quarantine updates are received by `transport.crash_reports`.
             if not isinstance(received.message, quarantine.QuarantineUpdate):
                 self._handle(node.Received(received.sender, received.message))
 
--- a/hyssopfold/entry/upstream.py
+++ b/hyssopfold/entry/upstream.py
@@ -38,7 +38,7 @@
 class LostError(Exception):
     """The connection of an attempt failed.
 
-    The events of the attempt tell how far it got.
+    How far the request got is tracked by the state machine of its attempts.
     """
 
 
@@ -72,7 +72,8 @@
         Args:
             server: The server.
             outgoing: The request.
-            fresh: Whether a new connection must be used.
+            fresh: Whether the connection must be new, or proved alive a short
+                time ago.
             on_first_byte: Called once the first byte is passed to the network.
 
         Returns:
