--- a/tests/steps/entry/claims_steps.py
+++ b/tests/steps/entry/claims_steps.py
@@ -64,8 +64,8 @@
     """Entries, and their ranking as holders of the key."""
 
     def __init__(self, names):
-        self.entries = datapath.FakeEntries(names)
-        self.claims = self.entries.claims
+        self.holders = datapath.FakeClaimHolders(names)
+        self.claims = self.holders.claims
 
     async def prepare(self):
         granted = await self.grant("not-run")
@@ -85,7 +85,7 @@
         return granted
 
     def announce_leaving(self, name):
-        instances = self.entries.directory.instances
+        instances = self.holders.directory.instances
         record = instances.get(name)
         leaving = record._replace(state="leaving", sequence=record.sequence + 1)
         instances.update(name, leaving, 0.0)
@@ -93,7 +93,7 @@
     async def leave(self, name):
         self.announce_leaving(name)
         await self.claims[name].hand_over()
-        self.entries.down.add(name)
+        self.holders.down.add(name)
 
 
 def _add_step(context, step):
@@ -116,7 +116,7 @@
 @when("the key's first holder crashes")
 def _(context):
     async def step(claim_entries):
-        claim_entries.entries.down.add(claim_entries.ranked[0])
+        claim_entries.holders.down.add(claim_entries.ranked[0])
         claim_entries.announce_leaving(claim_entries.ranked[0])
 
     _add_step(context, step)
@@ -126,7 +126,7 @@
 def _(context, which):
     async def step(claim_entries):
         index = ("first", "second").index(which)
-        claim_entries.entries.start(claim_entries.ranked[index], 2)
+        claim_entries.holders.start(claim_entries.ranked[index], 2)
 
     _add_step(context, step)
 
@@ -134,7 +134,7 @@
 @when("the key's first holder is unreachable")
 def _(context):
     async def step(claim_entries):
-        claim_entries.entries.down.add(claim_entries.ranked[0])
+        claim_entries.holders.down.add(claim_entries.ranked[0])
 
     _add_step(context, step)
 
@@ -142,7 +142,7 @@
 @when("both holders are unreachable")
 def _(context):
     async def step(claim_entries):
-        claim_entries.entries.down.update(claim_entries.ranked[:2])
+        claim_entries.holders.down.update(claim_entries.ranked[:2])
 
     _add_step(context, step)
 
@@ -167,7 +167,7 @@
 @when("a new entry joins")
 def _(context):
     async def step(claim_entries):
-        claim_entries.entries.start("entry-6", 1)
+        claim_entries.holders.start("entry-6", 1)
 
     _add_step(context, step)
 
@@ -180,7 +180,7 @@
     asking = next(
         name
         for name in context.names[1:]
-        if name not in claim_entries.entries.down
+        if name not in claim_entries.holders.down
     )
     return await claim_entries.claims[asking].claim(_exchange(2))
 
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -145,8 +145,8 @@
         self.crashes.append((server.server_id, fingerprint))
 
 
-class FakeEntries:
-    """Entries that keep each other's claims, with calls within this process.
+class FakeClaimHolders:
+    """Entries that hold each other's claims, with calls within this process.
 
     `down` has the names of those that answer no calls.
     """
@@ -178,15 +178,15 @@
 
 
 class _FakeClient:
-    def __init__(self, entries, name):
-        self._entries = entries
+    def __init__(self, claim_holders, name):
+        self._claim_holders = claim_holders
         self._name = name
 
     async def call(self, method, req, timeout_s):
         await trio.lowlevel.checkpoint()
-        if self._name in self._entries.down:
+        if self._name in self._claim_holders.down:
             raise errors.PeerUnavailableError(self._name, "down")
-        handlers = self._entries.claims[self._name].handlers()
+        handlers = self._claim_holders.claims[self._name].handlers()
         return await handlers[method](req)
 
 
@@ -237,7 +237,7 @@
         pacer: Pacer of the links.
         max_body: Largest accepted body in bytes.
         standins: Running stand-ins to use instead of own ones.
-        entries: The entries that keep claims.
+        claim_holders: The entries that hold claims.
         name: Name of this entry among them.
         options: Fields of the stand-ins' options to replace.
     """
@@ -249,7 +249,7 @@
         pacer=None,
         max_body=1 << 40,
         standins=None,
-        entries=None,
+        claim_holders=None,
         name="entry-1",
         **options,
     ):
@@ -262,7 +262,7 @@
             server_directory.servers.update(record.server_id, record, 0.0)
         rng = random.Random(1)
         self.placement = FakePlacement([record for _, record in pairs])
-        self.claims = (entries or FakeEntries([name])).claims[name]
+        self.claims = (claim_holders or FakeClaimHolders([name])).claims[name]
         self.pool = connections.ConnectionPool(lambda server: 40)
         self.meter = metrics.Metrics("test")
         self.quarantine = FakeQuarantine()
--- a/tests/support/mixed.py
+++ b/tests/support/mixed.py
@@ -41,10 +41,10 @@
     def __init__(self, entries, servers, seed, **options):
         names = [f"entry-{index}" for index in range(1, entries + 1)]
         self.standins = datapath.make_standins(servers, **options)
-        fake_entries = datapath.FakeEntries(names)
+        claim_holders = datapath.FakeClaimHolders(names)
         self.paths = [
             datapath.DataPath(
-                standins=self.standins, entries=fake_entries, name=name
+                standins=self.standins, claim_holders=claim_holders, name=name
             )
             for name in names
         ]
