--- a/tests/steps/entry/mixed_steps.py
+++ b/tests/steps/entry/mixed_steps.py
@@ -26,14 +26,14 @@
         for name in sorted(wire.FAULTS)
         if name not in _SLOW_FAULTS
     )
-    context.mixed = mixed.Mixed(
+    context.mixed = mixed.MixedWorkload(
         entries, servers, SEED, faults=faults, service_s=0.002
     )
 
 
 @given("{entries:d} entries over {servers:d} servers without faults")
 def _(context, entries, servers):
-    context.mixed = mixed.Mixed(
+    context.mixed = mixed.MixedWorkload(
         entries, servers, SEED, service_s=0.002, slots=40
     )
 
@@ -62,23 +62,23 @@
 @then("the servers' ledgers agree with the callers' records")
 def _(context):
     fixture = context.mixed
-    outcomes = fixture.books.outcomes
+    outcomes = fixture.outcome_ledger.outcomes
     assert len(outcomes) == context.sent, len(outcomes)
-    faults = fixture.books.find_violations(
-        fixture.run_counts(), fixture.once_keys()
+    violations = fixture.outcome_ledger.find_violations(
+        fixture.run_counts(), fixture.run_once_keys()
     )
-    assert not faults, faults[:5]
+    assert not violations, violations[:5]
 
 
 @then("every mixed request was answered and none was cut")
 def _(context):
-    books = context.mixed.books
+    ledger = context.mixed.outcome_ledger
     answered = standin_caller.RequestOutcome.ANSWERED
     others = [
         outcome
-        for outcome in books.outcomes.values()
+        for outcome in ledger.outcomes.values()
         if outcome is not answered
     ]
     assert not others, others[:5]
-    assert not books.cut, books.cut
+    assert not ledger.cut, ledger.cut
     assert [stop.cut_requests for stop in context.mixed.stops] == [0, 0]
--- a/tests/support/mixed.py
+++ b/tests/support/mixed.py
@@ -13,14 +13,14 @@
 from tests.support import datapath
 
 TTL_S = 0.3
-SPREAD_S = 0.1
+PROPAGATION_S = 0.1
 MAX_S = 100.0
 CALLERS = 24
 UPLOAD_BYTES = 100_000
 
 
-def _grant_nothing():
-    """Take the place of an entry's placement that grants no slots to others."""
+def _leave_placement():
+    """Do nothing, since the entry grants no slots to others."""
 
 
 class _FakeGossip:
@@ -28,7 +28,7 @@
         pass
 
 
-class Mixed:
+class MixedWorkload:
     """Entries that share stand-ins, and callers that record all outcomes.
 
     Args:
@@ -53,7 +53,7 @@
             path.placement.rotate = True
             path.app = self._app(path)
         self.rng = random.Random(seed)
-        self.books = standin_caller.OutcomeLedger()
+        self.outcome_ledger = standin_caller.OutcomeLedger()
         self.once = set()
         self.stops = []
 
@@ -72,7 +72,7 @@
         return app
 
     async def run(self, requests, concurrent_task=None):
-        """Send `requests` requests while `concurrent_task` runs."""
+        """Send `requests` requests; run `concurrent_task` at the same time."""
         async with contextlib.AsyncExitStack() as stack:
             nursery = await stack.enter_async_context(trio.open_nursery())
             for standin, _ in self.standins:
@@ -87,7 +87,7 @@
             nursery.cancel_scope.cancel()
 
     async def _call(self, count, number):
-        caller = standin_caller.Caller("a", f"c{number}", self.books)
+        caller = standin_caller.Caller("a", f"c{number}", self.outcome_ledger)
         for _ in range(count):
             kind = self.rng.choices(("GET", "POST", "PUT"), (6, 3, 1))[0]
             path = "/upload" if kind == "PUT" else "/x"
@@ -98,18 +98,18 @@
 
     async def stop_entry(self, path):
         """Run the planned stop of an entry."""
-        stop_steps = stop.Stop(TTL_S, SPREAD_S, MAX_S)
-        leave = leaving.PlannedStop(
-            stop_steps,
+        stop_state = stop.Stop(TTL_S, PROPAGATION_S, MAX_S)
+        planned_stop = leaving.PlannedStop(
+            stop_state,
             path.listener,
             _FakeGossip(),
-            _grant_nothing,
+            _leave_placement,
             path.claims.hand_over,
         )
         self.ready.remove(path)
-        await leave.run()
+        await planned_stop.run()
         path.stop.set()
-        self.stops.append(stop_steps)
+        self.stops.append(stop_state)
 
     def leave_server(self, index):
         """Remove a server from placement, as its announcement would."""
@@ -121,6 +121,6 @@
         """Return how often each key ran at all servers."""
         return sum((standin.keys for standin, _ in self.standins), Counter())
 
-    def once_keys(self):
+    def run_once_keys(self):
         """Return the keys of the requests that may run only once."""
         return set().union(*(standin.post_keys for standin, _ in self.standins))
