--- a/tests/entry/behind.feature
+++ b/tests/entry/pipelining.feature
@@ -1,7 +1,8 @@
 Feature: pipelined requests through an entry to its servers
   Guards against serving pipelined requests one after another, so that three
-  GETs take three times as long as one though servers are free, and against
-  running a request that may not be repeated concurrently with them.
+  GETs take three times as long as one though servers are free. Also guards
+  against running a request that is not repeatable, or has a body, concurrently
+  with others.
 
   Scenario: pipelined GETs run concurrently, a POST after them
     Given the data path over servers that take 0.3 s
@@ -17,7 +18,7 @@
       | what                    |
       | a POST                  |
       | a GET with a body       |
-      | a GET with no host      |
+      | a chunked GET, no host  |
 
   Scenario: a GET runs concurrently with others
     Then the data path lets a GET run concurrently with others: yes
--- a/tests/steps/entry/behind_steps.py
+++ b/tests/steps/entry/pipelining_steps.py
@@ -1,4 +1,4 @@
-"""Steps of entry/behind.feature."""
+"""Steps of entry/pipelining.feature."""
 
 import logging
 
@@ -17,7 +17,7 @@
         "GET",
         [(b"host", b"shop"), (b"content-length", b"3")],
     ),
-    "a GET with no host": ("GET", [(b"transfer-encoding", b"chunked")]),
+    "a chunked GET, no host": ("GET", [(b"transfer-encoding", b"chunked")]),
 }
 
 
@@ -36,7 +36,7 @@
 
 @given("the data path over servers that take {seconds:g} s")
 def _(context, seconds):
-    context.behind_service_s = seconds
+    context.pipelined_service_s = seconds
 
 
 @when("three GETs and a POST are pipelined on one connection")
@@ -47,7 +47,7 @@
     context.add_cleanup(log.removeHandler, handler)
 
     async def main():
-        path = datapath.DataPath(3, service_s=context.behind_service_s)
+        path = datapath.DataPath(3, service_s=context.pipelined_service_s)
         path.listener.may_run_concurrently = path.proxy.may_run_concurrently
         path.placement.rotate = True
         async with path.running():
@@ -56,38 +56,38 @@
             gets = b"".join(
                 pipelines.request_without_body(f"/{n}") for n in range(3)
             )
-            began = trio.current_time()
+            began_at = trio.current_time()
             await stream.send_all(
                 gets + pipelines.request_with_body("/pay", b"one")
             )
-            context.behind_answers = [await reader.next() for _ in range(4)]
-            context.behind_took_s = trio.current_time() - began
-            context.behind_runs = path.runs
+            context.pipelined_answers = [await reader.next() for _ in range(4)]
+            context.pipelined_took_s = trio.current_time() - began_at
+            context.pipelined_runs = path.runs
 
     trio.run(main)
-    context.behind_events = handler.events
+    context.pipelined_events = handler.events
 
 
 @then("four answers arrive in order within {seconds:g} s")
 def _(context, seconds):
-    statuses = [answer.status for answer in context.behind_answers]
-    assert statuses == [200] * 4, context.behind_answers
-    assert context.behind_runs == 4, context.behind_runs
-    assert context.behind_took_s < seconds, context.behind_took_s
+    statuses = [answer.status for answer in context.pipelined_answers]
+    assert statuses == [200] * 4, context.pipelined_answers
+    assert context.pipelined_runs == 4, context.pipelined_runs
+    assert context.pipelined_took_s < seconds, context.pipelined_took_s
 
 
 @then("the POST was sent to a server after all GETs were answered")
 def _(context):
     # The POST takes as long as a GET and starts after them: twice the time.
-    assert context.behind_took_s > 2 * context.behind_service_s * 0.8
+    assert context.pipelined_took_s > 2 * context.pipelined_service_s * 0.8
 
 
 @then("the log has the number of requests ahead of each")
 def _(context):
-    ahead = sorted(event["ahead"] for event in context.behind_events)
-    assert ahead == [0, 1, 2, 3], context.behind_events
-    post = max(context.behind_events, key=lambda event: event["ahead"])
-    min_behind_s = context.behind_service_s * 0.5
+    ahead = sorted(event["ahead"] for event in context.pipelined_events)
+    assert ahead == [0, 1, 2, 3], context.pipelined_events
+    post = max(context.pipelined_events, key=lambda event: event["ahead"])
+    min_behind_s = context.pipelined_service_s * 0.5
     assert post["behind_s"] > min_behind_s, post
 
 
