--- a/tests/entry/leaving.feature
+++ b/tests/entry/leaving.feature
@@ -25,7 +25,7 @@
     Then the kept connection's next request is answered, then it is closed
     And the stopped entry cut nothing
 
-  Scenario: without connections the stop waits for the look-ups only
+  Scenario: a stop without connections waits only until look-ups expire
     Given an entry that can be stopped
     When it is stopped without any connection
     Then the stopped entry cut nothing
--- a/tests/entry/mixed.feature
+++ b/tests/entry/mixed.feature
@@ -4,7 +4,7 @@
   to callers that contradict what the servers ran.
 
   Scenario: servers that misbehave
-    Given 3 entries over 4 servers with every fault at 1 in 100
+    Given 3 entries over 4 servers with every fast fault at 1 in 100
     When 600 mixed requests are sent by callers that retry
     Then the servers' ledgers agree with the callers' records
 
--- a/tests/entry/proxy.feature
+++ b/tests/entry/proxy.feature
@@ -116,9 +116,9 @@
     Then their retry-after times differ
 
   Scenario: a complete answer is counted as answered
-    Metrics and claims had the outcome `unknown` for all answered requests: the
-    event of a complete answer has no fields, so it is an empty tuple, which is
-    falsy, and was dropped.
+    Guards against dropping the event of a complete answer: it has no fields, so
+    it is an empty tuple, which is falsy. Without the event, metrics and claims
+    have the outcome `unknown` for all answered requests.
 
     Given the data path over 1 stand-ins
     When the data path gets POST with the fault ""
@@ -150,9 +150,10 @@
     Then the data path answers 502 with outcome "unknown"
     And the data path ran it 1 times
 
-  # Guards against a cut connection if a body is recognised early as too long.
+  # Guards against a cut connection when the body is found to exceed the limit
+  # while it is buffered for the fingerprint, before a slot is acquired.
   Scenario: a quarantined POST is repeated with a body that is too long
-    Given the data path over 2 stand-ins that takes bodies of 1000 bytes
+    Given the data path over 2 stand-ins, with bodies of at most 1000 bytes
     When the data path quarantines a POST of 900 bytes, sent in chunks
     And that POST is repeated with 5000 bytes
     Then the data path answers 413 with outcome "not-run"
--- a/tests/entry/steering.feature
+++ b/tests/entry/steering.feature
@@ -6,7 +6,7 @@
   Scenario: all entries steer the requests of a caller in the same way
     Given steering at entries of dar and arusha with client blocks
     When dar is drained and 5 minutes of steering pass
-    Then both entries steer 500 requests of a dar caller alike, half of them away
+    Then both entries steer 500 requests of a dar caller alike, half to arusha
     And without client blocks the entries steer them differently
 
   Scenario: a starting entry adopts the shares of a running entry
--- a/tests/steps/entry/claims_steps.py
+++ b/tests/steps/entry/claims_steps.py
@@ -117,6 +117,7 @@
 def _(context):
     async def step(claim_entries):
         claim_entries.holders.down.add(claim_entries.ranked[0])
+        # Like the end of its lease, this removes it from the possible holders.
         claim_entries.announce_leaving(claim_entries.ranked[0])
 
     _add_step(context, step)
--- a/tests/steps/entry/connections_steps.py
+++ b/tests/steps/entry/connections_steps.py
@@ -52,9 +52,9 @@
             return exc
         return None
 
-    began = time.monotonic()
+    began_at = time.monotonic()
     context.conn_error = trio.run(acquire)
-    context.conn_took_s = time.monotonic() - began
+    context.conn_took_s = time.monotonic() - began_at
 
 
 @then("the attempt fails within {limit:g} s and nothing was sent")
--- a/tests/steps/entry/crashing_requests_steps.py
+++ b/tests/steps/entry/crashing_requests_steps.py
@@ -63,7 +63,7 @@
             await entries.ask(name, context.method, "crash")
             for name in list(entries.entries) * times
         ]
-        context.results["sound"] = [
+        context.results["harmless_answers"] = [
             await entries.ask(name, context.method) for name in entries.entries
         ]
 
@@ -91,6 +91,6 @@
 
 @then("each entry serves a harmless {method}")
 def _(context, method):
-    assert [answer.status for answer in context.results["sound"]] == [
-        200
-    ] * context.sizes[0]
+    assert [
+        answer.status for answer in context.results["harmless_answers"]
+    ] == [200] * context.sizes[0]
--- a/tests/steps/entry/leaving_steps.py
+++ b/tests/steps/entry/leaving_steps.py
@@ -31,7 +31,7 @@
     """Placement of an entry that grants no slots to others."""
 
     def leave(self):
-        """Do nothing: there is no grant to hand over."""
+        """Do nothing, since the entry grants no slots to others."""
 
 
 class _EventRecorder(logging.Handler):
--- a/tests/steps/entry/mixed_steps.py
+++ b/tests/steps/entry/mixed_steps.py
@@ -18,7 +18,8 @@
 
 
 @given(
-    "{entries:d} entries over {servers:d} servers with every fault at 1 in {n:d}"
+    "{entries:d} entries over {servers:d} servers with every fast fault at 1 in"
+    " {n:d}"
 )
 def _(context, entries, servers, n):
     faults = tuple(
--- a/tests/steps/entry/proxy_steps.py
+++ b/tests/steps/entry/proxy_steps.py
@@ -18,7 +18,8 @@
 
 
 @given(
-    "the data path over {count:d} stand-ins that takes bodies of {size:d} bytes"
+    "the data path over {count:d} stand-ins, with bodies of at most {size:d}"
+    " bytes"
 )
 def _(context, count, size):
     context.count = count
@@ -149,7 +150,9 @@
     context.posted = (size, framing)
 
     async def step(path):
-        await path.ask("POST", "/held", body=_make_body(*context.posted, b"a"))
+        await path.ask(
+            "POST", "/quarantined", body=_make_body(*context.posted, b"a")
+        )
         path.quarantine.quarantined.add(_pop_fingerprint(path))
 
     context.script.append(step)
@@ -170,7 +173,7 @@
 def _(context, size):
     async def step(path):
         body = _make_body(size, "in chunks", b"a")
-        return await path.ask("POST", "/held", body=body)
+        return await path.ask("POST", "/quarantined", body=body)
 
     context.script.append(step)
 
@@ -184,7 +187,7 @@
 
     async def step(path):
         body = _make_body(size, framing, byte)
-        return await path.ask("POST", "/held", body=body)
+        return await path.ask("POST", "/quarantined", body=body)
 
     context.script.append(step)
 
@@ -192,7 +195,7 @@
 @when("a GET is quarantined as it crashes the first of two servers")
 def _(context):
     async def step(path):
-        await path.ask("GET", "/held")
+        await path.ask("GET", "/quarantined")
         fingerprint = _pop_fingerprint(path)
 
         def quarantine(server):
@@ -201,7 +204,7 @@
 
         for standin in path.standins:
             standin.ledger = _ObservedLedger(standin, quarantine)
-        return await path.ask("GET", "/held", "crash@s1")
+        return await path.ask("GET", "/quarantined", "crash@s1")
 
     context.script.append(step)
 
@@ -209,12 +212,12 @@
 @when("a GET is quarantined as it waits for a slot")
 def _(context):
     async def step(path):
-        await path.ask("GET", "/held")
+        await path.ask("GET", "/quarantined")
         fingerprint = _pop_fingerprint(path)
         path.placement.on_wait = lambda: path.quarantine.quarantined.add(
             fingerprint
         )
-        return await path.ask("GET", "/held")
+        return await path.ask("GET", "/quarantined")
 
     context.script.append(step)
 
--- a/tests/steps/entry/steering_steps.py
+++ b/tests/steps/entry/steering_steps.py
@@ -104,9 +104,7 @@
     ]
 
 
-@then(
-    "both entries steer 500 requests of a dar caller alike, half of them away"
-)
+@then("both entries steer 500 requests of a dar caller alike, half to arusha")
 def _(context):
     first, second = map(_first_regions, context.entries[:2])
     assert first == second
--- a/tests/support/fake_entries.py
+++ b/tests/support/fake_entries.py
@@ -30,13 +30,15 @@
 class Entry:
     """One incarnation of an entry, with its node and its directory."""
 
-    def __init__(self, world, name, incarnation, region):
+    def __init__(self, simulation, name, incarnation, region):
         self.me = messages.Member(name, incarnation)
         self.region = region
         self.directory = directory.Directory(LEASE_S)
-        cfg = node.Config(self.me, region, f"{region}-1", world.control_names)
-        rng = random.Random(world.rng.random())
-        self.node = node.Node(cfg, self.directory, rng, world.now)
+        cfg = node.Config(
+            self.me, region, f"{region}-1", simulation.control_names
+        )
+        rng = random.Random(simulation.rng.random())
+        self.node = node.Node(cfg, self.directory, rng, simulation.now)
         self.node.set_pools([POOL])
         self.frozen = False
         self.deferred_messages = []
--- a/tests/support/running_entries.py
+++ b/tests/support/running_entries.py
@@ -159,7 +159,7 @@
         """
         entry = self.entries[name]
         headers = {"host": "shop.example"}
-        path = "/sound"
+        path = "/harmless"
         if fault:
             headers["standin-fault"] = fault
             path = f"/{fault}"
