--- a/hyssopfold/entry/adoption.py
+++ b/hyssopfold/entry/adoption.py
@@ -15,7 +15,7 @@
 
 logger = logging.getLogger(__name__)
 
-PATH = "/hyssop/v1/status"
+STATUS_PATH = "/hyssop/v1/status"
 MAX_PEERS = 3
 # Other entries announce themselves once a gossip period, so an entry that has
 # received no announcement by then is the only one.
@@ -62,7 +62,7 @@
     try:
         with trio.fail_after(_REQUEST_TIMEOUT_S):
             async with httpcore.AsyncConnectionPool() as pool:
-                url = f"http://{peer.address}{PATH}"
+                url = f"http://{peer.address}{STATUS_PATH}"
                 response = await pool.request("GET", url)
         parts = parts_by_pool(msgspec.json.decode(response.content)["pools"])
     except (
--- a/hyssopfold/entry/answers.py
+++ b/hyssopfold/entry/answers.py
@@ -22,8 +22,8 @@
         route: Its route.
 
     Returns:
-        The limit in seconds, and whether it counts from the request's head
-        alone since the caller applies it too.
+        The limit in seconds, and whether it is total: counted from the
+        request's head only, since the caller counts it so too.
     """
     limit_s = route.deadline_ms / 1000
     value = exchange.header(exchange.dialect.deadline_ms)
--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -66,8 +66,9 @@
         self._evacuated = evacuated
         self._reopened = reopened.ReopenedDomains(gossip_service.directory)
         self._warm_up_s: dict[str, float] = {}
-        # Entries that serve callers, and their names. The names are computed
-        # again only when the entries change.
+        # Entries that serve callers, their names, and the names of those that
+        # get reports of busy servers. The names are computed again only when
+        # the entries change.
         self._entries: tuple[membership.Instance, ...] = ()
         self._names: tuple[str, ...] = ()
         self._neighbours: tuple[str, ...] = ()
@@ -142,7 +143,7 @@
             self._busy_event.set()
 
     def in_flight(self) -> dict[str, int]:
-        """Return the requests under way by server."""
+        """Return the number of running requests by server id."""
         return self._chooser.in_flight()
 
     def set_pools(self, pools: Iterable[tables.Pool]) -> None:
@@ -192,7 +193,7 @@
             )
 
     async def _report_busy(self) -> None:
-        """Report servers at which requests wait to neighbouring entries."""
+        """Report to neighbouring entries the servers at which requests wait."""
         while True:
             await self._busy_event.wait()
             await trio.sleep(BUSY_BATCH_S)
--- a/hyssopfold/entry/lookups.py
+++ b/hyssopfold/entry/lookups.py
@@ -48,7 +48,7 @@
             change is in progress.
         config: Source of the tables in force.
         gossip_service: Returns the live instances.
-        steer: Traffic shares in force and the home regions of clients.
+        region_steering: Traffic shares in force, and home regions of clients.
     """
 
     def __init__(
@@ -58,14 +58,14 @@
         usual_ttl_s: float,
         config: configuration.Configuration,
         gossip_service: gossip.Gossip,
-        steer: steering.Steering,
+        region_steering: steering.Steering,
     ) -> None:
         self._region = region
         self._delays_ms = delays_ms
         self._usual_ttl_s = usual_ttl_s
         self._config = config
         self._gossip = gossip_service
-        self._steering = steer
+        self._steering = region_steering
         self._index = lookup.EntryIndex()
         self._updated_at = -MAX_INDEX_AGE_S
         self._regions_by_delay: tuple[str, ...] = ()
--- a/hyssopfold/entry/placement.py
+++ b/hyssopfold/entry/placement.py
@@ -95,7 +95,7 @@
         self._handle(node.Release(grant, attempt_result))
 
     def in_flight(self) -> dict[str, int]:
-        """Return the requests under way by server."""
+        """Return the number of running requests by server id."""
         return self._core.holder.in_flight()
 
     def leave(self) -> None:
--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -56,7 +56,8 @@
         retry_share: Retries that each request of a pool adds to the budget.
         shared_retry_reserve: Unused retries that all entries together may
             keep. If 0, each entry has its own reserve.
-        log_lines_per_s: Log lines of successful requests per second.
+        log_lines_per_s: Largest number of log lines of successful requests per
+            second.
     """
 
     max_body_bytes: int = exchange_module.MAX_BODY_BYTES
--- a/hyssopfold/entry/status.py
+++ b/hyssopfold/entry/status.py
@@ -22,7 +22,7 @@
     Args:
         config: Source of the tables in force.
         gossip_service: Has the directory of servers.
-        steer: Traffic shares in force.
+        region_steering: Traffic shares in force.
         placement: Counts of the requests under way.
     """
 
@@ -30,12 +30,12 @@
         self,
         config: configuration.Configuration,
         gossip_service: gossip.Gossip,
-        steer: steering.Steering,
+        region_steering: steering.Steering,
         placement: attempt_dependencies.Placement,
     ) -> None:
         self._config = config
         self._gossip = gossip_service
-        self._steering = steer
+        self._steering = region_steering
         self._placement = placement
         # For each server being emptied: when that was first observed, and the
         # number of its requests at that time.
--- a/tests/steps/entry/configuration_steps.py
+++ b/tests/steps/entry/configuration_steps.py
@@ -166,15 +166,17 @@
     assert max(context.waits) <= publisher.MAX_WAIT_S + 1, context.waits
 
 
-LIMIT_S = 30
+TIMEOUT_S = 30
 
 
 def _entry(name, address):
     rng = random.Random(1)
-    links = rpc.ConnectionConfig(auth.Keyring((b"a-shared-key-of-ours",)), rng)
-    control = [rpc.Client(address, links)]
-    return links, configuration.Configuration(
-        name, control, rpc.Clients(links), rng
+    connection_config = rpc.ConnectionConfig(
+        auth.Keyring((b"a-shared-key-of-ours",)), rng
+    )
+    control = [rpc.Client(address, connection_config)]
+    return connection_config, configuration.Configuration(
+        name, control, rpc.Clients(connection_config), rng
     )
 
 
@@ -190,19 +192,23 @@
 def _(context):
     async def main():
         async with rpc.open_loop(), trio.open_nursery() as nursery:
-            links, direct = _entry("entry-1", context.control)
+            connection_config, direct = _entry("entry-1", context.control)
             start = nursery.start
             control_handlers = {poll_wire.POLL: context.pair.published.poll}
             peer_handlers = {poll_wire.POLL: direct.publisher.poll}
-            await start(rpc.serve, context.control, control_handlers, links)
-            await start(rpc.serve, context.peer, peer_handlers, links)
+            await start(
+                rpc.serve, context.control, control_handlers, connection_config
+            )
+            await start(
+                rpc.serve, context.peer, peer_handlers, connection_config
+            )
             await start(context.relay.run)
             _, relayed = _entry("entry-2", context.relay.address)
             nursery.start_soon(context.pair.confirmations.run)
             nursery.start_soon(direct.run)
             nursery.start_soon(relayed.run)
             context.pair.publish(1)
-            with trio.fail_after(LIMIT_S):
+            with trio.fail_after(TIMEOUT_S):
                 while relayed.snapshot.revision < 1:
                     await trio.sleep(0.01)
                 context.relay.cut()
--- a/tests/support/running_entries.py
+++ b/tests/support/running_entries.py
@@ -84,7 +84,7 @@
 
     @contextlib.asynccontextmanager
     async def running(self):
-        """Run all entries and servers; enter once all members are known."""
+        """Run all entries and servers; yield once entries know all members."""
         with trio.fail_after(WAIT_S):
             async with trio.open_nursery() as nursery:
                 for entry in self.entries.values():
