--- a/hyssopfold/entry/answer_relay.py
+++ b/hyssopfold/entry/answer_relay.py
@@ -13,8 +13,8 @@
 # Longer answers are relayed as they arrive.
 MAX_BUFFERED_BYTES = 64 * 1024
 
-# Waits until a part of a body may be sent over the link to the server. Takes the
-# part, and the length of the whole body in bytes or None if it is not known.
+# Waits until a part of a body may be sent over the link to the server. Takes
+# the part, and the length of the whole body in bytes or None if not known.
 LinkWait = Callable[[bytes, int | None], Awaitable[None]]
 
 
--- a/hyssopfold/entry/connections.py
+++ b/hyssopfold/entry/connections.py
@@ -220,7 +220,7 @@
         return await self._open(address)
 
     async def release(self, conn: Connection) -> None:
-        """Return a connection to the pool, or close it if it is not reusable."""
+        """Return a connection to the pool, or close it if not reusable."""
         now = trio.current_time()
         conn.last_used_at = now
         if self._is_usable(conn, now):
--- a/tests/support/datapath.py
+++ b/tests/support/datapath.py
@@ -377,7 +377,7 @@
 
 
 async def read_all(stream):
-    """Return the bytes up to the end of the connection, and `end` or `reset`."""
+    """Return the bytes until the connection ends, and `end` or `reset`."""
     data = b""
     try:
         while part := await stream.receive_some(65_536):
