--- a/hyssopfold/entry/answers.py
+++ b/hyssopfold/entry/answers.py
@@ -1,4 +1,4 @@
-"""Interprets answers of backend servers, and makes refusals without one."""
+"""Interprets servers' answers, and builds refusals of requests without one."""
 
 import httpcore
 
--- a/tests/steps/entry/configuration_steps.py
+++ b/tests/steps/entry/configuration_steps.py
@@ -38,7 +38,7 @@
         raise errors.PeerUnavailableError(self.address, "time-out")
 
 
-class Pair:
+class EntryAndPublisher:
     """An entry's configuration and the publisher that it polls."""
 
     def __init__(self, confirmed):
@@ -89,7 +89,7 @@
 
 @given("a configured entry and a publisher that {who} confirms")
 def _(context, who):
-    context.pair = Pair(confirmed=who == "a majority")
+    context.pair = EntryAndPublisher(confirmed=who == "a majority")
 
 
 @when("a revision is published while a request holds its snapshot")
@@ -182,25 +182,33 @@
 
 @given("two configured entries, one of which reaches control through a relay")
 def _(context):
-    context.pair = Pair(confirmed=True)
-    context.control = loopback.free_address()
-    context.peer = loopback.free_address()
-    context.relay = relay.Relay(context.control)
+    context.pair = EntryAndPublisher(confirmed=True)
+    context.control_address = loopback.free_address()
+    context.peer_address = loopback.free_address()
+    context.relay = relay.Relay(context.control_address)
 
 
 @when("the relay is cut and a revision is published")
 def _(context):
     async def main():
         async with rpc.open_loop(), trio.open_nursery() as nursery:
-            connection_config, direct = _entry("entry-1", context.control)
+            connection_config, direct = _entry(
+                "entry-1", context.control_address
+            )
             start = nursery.start
             control_handlers = {poll_wire.POLL: context.pair.published.poll}
             peer_handlers = {poll_wire.POLL: direct.publisher.poll}
             await start(
-                rpc.serve, context.control, control_handlers, connection_config
+                rpc.serve,
+                context.control_address,
+                control_handlers,
+                connection_config,
             )
             await start(
-                rpc.serve, context.peer, peer_handlers, connection_config
+                rpc.serve,
+                context.peer_address,
+                peer_handlers,
+                connection_config,
             )
             await start(context.relay.run)
             _, relayed = _entry("entry-2", context.relay.address)
@@ -216,7 +224,9 @@
                 while direct.snapshot.revision < 2:
                     await trio.sleep(0.01)
                 # The other entry's datagrams report its revision each second.
-                relayed.record_revision(context.peer, direct.snapshot.revision)
+                relayed.record_revision(
+                    context.peer_address, direct.snapshot.revision
+                )
                 while relayed.snapshot.revision < 2:
                     await trio.sleep(0.01)
             context.values = (direct.snapshot.tables, relayed.snapshot.tables)
@@ -234,7 +244,7 @@
 
 @given("a publisher whose confirming reads never end")
 def _(context):
-    context.pair = Pair(confirmed=True)
+    context.pair = EntryAndPublisher(confirmed=True)
 
     async def read():
         await trio.sleep_forever()
