--- a/hyssopfold/entry/dialect.py
+++ b/hyssopfold/entry/dialect.py
@@ -91,7 +91,7 @@
         )
 
     def parse_load(self, headers: dict[bytes, bytes]) -> messages.Load | None:
-        """Return the load that an answer reports, or None without a valid one."""
+        """Return the load reported in an answer, None without a valid one."""
         value = headers.get(self.load) if self.load else None
         if value is None or len(value) > _MAX_LOAD_CHARS:
             return None
