--- a/hyssopfold/core/membership/anti_entropy.py
+++ b/hyssopfold/core/membership/anti_entropy.py
@@ -36,7 +36,7 @@
         self._comparisons_left = MAX_COMPARISONS
 
     def renew(self) -> None:
-        """Allow `MAX_COMPARISONS` more; due each period."""
+        """Allow `MAX_COMPARISONS` comparisons again; due each period."""
         self._comparisons_left = MAX_COMPARISONS
 
     def ask(self, address: str) -> list[effects.Effect]:
@@ -53,13 +53,14 @@
     ) -> list[effects.Effect]:
         """Send this instance's records in the buckets that differ.
 
-        The asker may have newer records: the last datagram contains the
-        hashes of this instance, and the asker answers it once.
+        The asker may have newer records. With `compare` the last datagram
+        contains the hashes of this instance, which the asker answers with its
+        own records but without hashes: the exchange ends there.
 
         Args:
             address: Address of the asker.
             buckets: Its hashes.
-            compare: Whether it is to answer in turn.
+            compare: Whether the asker is to answer with its records in turn.
             now: Monotonic time in seconds.
         """
         differing = self._directory.digests.differing(buckets)
--- a/hyssopfold/core/membership/broadcasts.py
+++ b/hyssopfold/core/membership/broadcasts.py
@@ -10,7 +10,7 @@
 
 # How long records of new members are collected, to be sent together.
 BATCH_S = 0.2
-# How often it is repeated that a server leaves, is gone or is cold again.
+# Repetitions of an alarm: a server leaves, is gone or is cold again.
 ALARM_REPEATS = 2
 # Instances of each other failure domain that relay a broadcast there: an
 # alarm must arrive although one relay has just died.
@@ -51,8 +51,8 @@
 
         Args:
             key: Its id or name.
-            is_alarm: Whether the record is sent as an alarm, through as many
-                relays and as often as that a server leaves.
+            is_alarm: Whether the record is sent as an alarm, that is, through
+                more relays and repeatedly.
         """
         self._news[key] = is_alarm or self._news.get(key, False)
 
@@ -70,10 +70,10 @@
         return sends + self.alarm(alarms, now)
 
     def alarm(self, keys: Sequence[str], now: float) -> Sends:
-        """Send the records of some members at once, to be repeated.
+        """Send the records of some members at once; they are repeated later.
 
-        A server that leaves must get no new work, and in local placement
-        entries of any region send to it.
+        A server that leaves must get no new work. With local placement,
+        entries of any region may send requests to it, so all must know.
         """
         for key in keys:
             self._news.pop(key, None)
--- a/hyssopfold/core/membership/digests.py
+++ b/hyssopfold/core/membership/digests.py
@@ -62,8 +62,8 @@
             packed: Hashes of another instance, as `packed` returns them.
         """
         if len(packed) != _PACKED.size:
-            # A version of the program with another number of buckets: all
-            # of them count as different.
+            # The sender runs a version of the program with another number of
+            # buckets: all buckets count as different.
             return list(range(BUCKETS))
         pairs = zip(self._buckets, _PACKED.unpack(packed), strict=True)
         return [
--- a/hyssopfold/core/membership/directory.py
+++ b/hyssopfold/core/membership/directory.py
@@ -10,8 +10,9 @@
 from hyssopfold.core.membership import messages
 
 MAX_RECORDS = 20_000
-# Announcements within one cold period give ends that differ by no more than
-# their transmission times do. If the end moves later by more than this, the
+# Each announcement of a cold server gives the remaining time of the cold
+# period. Within one period, the ends computed from these differ by no more than
+# the transmission times do. If the end moves later by more than this, the
 # server has become cold again.
 _COLD_END_TOLERANCE_S = 0.75
 
@@ -41,7 +42,8 @@
     def update(self, key: str, record: Record, now: float) -> bool:
         """Store a record if it is newer; return whether it was stored.
 
-        Duplicate and late records are ignored. `leaving` is final for an
+        Duplicate and late records are ignored, and new keys beyond
+        `MAX_RECORDS`. `leaving` is final for an
         incarnation: a `ready` that was sent before it and arrives after it
         must not bring the server back.
         """
@@ -175,11 +177,14 @@
         return became_cold
 
     def cold_until(self, server_id: str) -> float:
-        """Return the time until which a server says it is cold, else 0."""
+        """Return when a server ceases to be cold; 0 if it is not cold.
+
+        The time is in monotonic seconds, from the server's announcement.
+        """
         return self._cold_until.get(server_id, 0.0)
 
     def is_cold(self, server_id: str, now: float) -> bool:
-        """Return whether a server says that it is cold."""
+        """Return whether a server is cold, by its announcements."""
         return self.cold_until(server_id) > now
 
     def expire(self, now: float) -> list[messages.Server | messages.Instance]:
--- a/hyssopfold/core/membership/effects.py
+++ b/hyssopfold/core/membership/effects.py
@@ -22,8 +22,8 @@
 class Changed(NamedTuple):
     """Effect: log a change of a member's state.
 
-    `cold_left_s` is for how many more seconds a server says that it stays
-    cold.
+    `cold_left_s` is the number of seconds that a server stays cold from now
+    on, as it announced.
     """
 
     member: str
--- a/hyssopfold/core/membership/gossip_protocol.py
+++ b/hyssopfold/core/membership/gossip_protocol.py
@@ -21,6 +21,8 @@
 # By then a change has reached all instances that can be reached
 # (docs/design/placement.md).
 PROPAGATION_S = 3.0
+# Rounds of gossip that the lease of an instance spans: these, and for each
+# doubling of the number of instances `ROUNDS_PER_DOUBLING` more.
 SPARE_ROUNDS = 4
 ROUNDS_PER_DOUBLING = 2
 # Control instances that are asked to broadcast a new or changed instance.
@@ -28,7 +30,7 @@
 # Share of its lease after which a silent instance is no longer in answers to
 # look-ups.
 SUSPECT_SHARE = 0.6
-# A new process that gets no answer starts without the others after this time.
+# A new process that has not received all records is ready after this time.
 START_ALONE_S = 2.0
 WANT_INTERVAL_S = 0.5
 # Datagrams of an answer to a request for all records.
@@ -121,7 +123,7 @@
         return self._builder.myself
 
     def set_seeds(self, seeds: Iterable[str]) -> None:
-        """Replace the addresses at which other instances are looked for."""
+        """Replace the addresses of the seeds."""
         self._seeds = tuple(seeds)
 
     @property
@@ -130,7 +132,7 @@
         return self._synced
 
     def ready(self, now: float) -> bool:
-        """Return whether the servers are known, or no instance answers."""
+        """Return whether all records were received or the wait for them ended."""
         return self._synced or now - self._started_at >= START_ALONE_S
 
     def instance_lease_s(self) -> float:
@@ -160,9 +162,9 @@
     def update_self(self, now: float, **changes: Any) -> Effects:
         """Change this instance's record, and send it if it differs.
 
-        That it leaves is an alarm, since look-ups must not return it any
-        longer. A newer revision is sent at once as a hint, since followers
-        would notice a lost push only by its time-out.
+        A record with the state `leaving` is sent as an alarm, since look-ups
+        must no longer return this instance. A newer revision is sent at once
+        as a hint, since followers would notice a lost push only by a time-out.
         """
         before = self.myself
         record = before._replace(**changes)
@@ -191,7 +193,7 @@
         self.directory.instances.update(me.name, me, now)
 
     def _request_introduction(self) -> Effects:
-        """Let some control instances broadcast this instance with others."""
+        """Ask control instances to broadcast this instance's record."""
         introduction = self._builder.introduction()._replace(introduce=True)
         addresses = self._peer_selector.nearest(INTRODUCERS, "control")
         return [
@@ -208,7 +210,8 @@
             return []
         record = self.directory.servers.get(server.server_id)
         if _has_left(record, server):
-            # The announcement was sent before the server was dismissed.
+            # `leaving` is final: an announcement may have been sent before
+            # the server left or was dismissed.
             server = server._replace(state="leaving")
         is_regular = self._received.record(server, now)
         # A newer announcement may have come from another instance already.
@@ -263,11 +266,11 @@
         server: messages.Server,
         is_regular: bool,
     ) -> bool:
-        """Return whether the other instances know what a server announces.
+        """Return whether an announcement contains nothing to broadcast.
 
         False also when the server regularly announces itself here but has
-        another monitor: that one no longer receives its announcements, and
-        would not notice when the server dies.
+        another monitor: that monitor no longer receives the announcements,
+        and would not notice when the server dies.
         """
         is_monitor = record.monitor == self.myself.name
         if (
@@ -336,8 +339,8 @@
             return []
         is_monitor = server.monitor == self.myself.name
         if is_monitor and self._received.get(server.server_id) is None:
-            # Sent by an earlier incarnation of this instance, which vouches
-            # for the server no longer.
+            # The record names an earlier incarnation of this instance as the
+            # monitor. This incarnation has received no announcement.
             server = server._replace(monitor="")
         if not self.directory.servers.update(server.server_id, server, now):
             return []
@@ -418,7 +421,7 @@
         return sender.gossip_address if sender is not None else None
 
     def _send_all_records(self, address: str, now: float) -> Effects:
-        # Limits the traffic that a peer causes which asks repeatedly.
+        # Limits the traffic that a peer causes by asking repeatedly.
         if (
             now - self._answered_at.get(address, -math.inf)
             < WANT_INTERVAL_S / 2
@@ -490,7 +493,7 @@
         return effects
 
     def _want(self) -> Effects:
-        """Ask one instance for all records, and to broadcast this instance."""
+        """Ask an instance for all records and to broadcast this instance."""
         question = self._builder.introduction()._replace(
             want=True, introduce=True
         )
@@ -503,8 +506,8 @@
 
     def _peers(self) -> list[str]:
         peers = self._peer_selector.gossip_peers()
-        # Instances that were all cut off and dropped are found again by a
-        # seed.
+        # After a partition in which all other instances were dropped, a seed
+        # makes the two sides known to each other again.
         addresses = self._peer_selector.addresses()
         unknown_seeds = sorted(
             set(self._seeds) - {self.myself.gossip_address} - addresses
--- a/hyssopfold/core/membership/heartbeats.py
+++ b/hyssopfold/core/membership/heartbeats.py
@@ -11,6 +11,7 @@
 
 # As many as fit into a datagram beside the sender's own record.
 MAX_HEARTBEATS = 180
+# Heartbeats that changed within this time are sent to other instances.
 RECENT_S = 1.0
 MAX_TOMBSTONES = 1000
 # A hash of name and incarnation, and the low bits of the count.
@@ -135,8 +136,8 @@
     def pack(self, me: str, rng: random.Random, now: float) -> bytes:
         """Return this instance's heartbeat and some that changed recently.
 
-        When there are many, they are chosen at random: otherwise the same
-        ones would always be sent and the other instances would seem silent.
+        If there are more than fit into a datagram, they are chosen at random:
+        if the same instances were always chosen, all others would seem silent.
         """
         recent = [
             name
--- a/hyssopfold/core/membership/messages.py
+++ b/hyssopfold/core/membership/messages.py
@@ -12,12 +12,12 @@
 class Server(NamedTuple):
     """The announcement of a backend server, and its record in the directory.
 
-    `load` is the number of requests it says it runs; `sequence` grows with
-    each announcement of an `incarnation`. `monitor` is the name of the
-    instance that receives the announcements and vouches for the server to
+    `load` is the number of requests that it runs, as it announced; `sequence`
+    grows with each announcement of an `incarnation`. `monitor` is the name of
+    the instance that receives the announcements and vouches for the server to
     the other instances; it sets the state `gone` when they stop.
-    `cold_left_s` is how much longer the server stays cold, in seconds from
-    when it said so.
+    `cold_left_s` is the number of seconds that the server stays cold from the
+    moment of the announcement.
     """
 
     server_id: str
@@ -36,9 +36,10 @@
 
 
 class Instance(NamedTuple):
-    """The record of an instance, which it makes itself.
+    """The record of an instance, which only the instance itself changes.
 
-    `rpc_address` is where others may poll it for its revision, or "".
+    `rpc_address` is the address at which other instances may poll it for its
+    revision, or "".
     """
 
     name: str
@@ -56,7 +57,7 @@
 
 
 class Suspicion(NamedTuple):
-    """An instance has sent no heartbeat for long; `heartbeats` is its count."""
+    """Suspicion that an instance is dead; `heartbeats` is its last count."""
 
     name: str
     incarnation: int
@@ -70,10 +71,11 @@
     `digest` is one hash of all records of the sender, `buckets` a hash of
     each bucket of them (see `digests`); with `compare` the receiver is to
     answer with its records in the buckets that differ. `want` asks for all
-    records, in datagrams numbered `part` out of `parts`. `introduce` asks the
-    receiver to broadcast the sender's record. `relay` asks it to forward the
-    datagram to its failure domain. `pull` asks for the receiver's heartbeats.
-    `suspects` are instances that their own failure domain suspects.
+    records; each datagram of the answer has its number `part`, from 0, and
+    their count `parts`. `introduce` asks the receiver to broadcast the
+    sender's record. `relay` asks it to forward the datagram to its failure
+    domain. `pull` asks for the receiver's heartbeats. `suspects` are instances
+    that their own failure domain suspects.
     """
 
     sender: str
--- a/hyssopfold/core/membership/monitoring.py
+++ b/hyssopfold/core/membership/monitoring.py
@@ -7,13 +7,15 @@
 from hyssopfold.core.membership import messages
 from hyssopfold.core.membership import received_announcements
 
-# Lease of a server whose monitor is silent: the server announces itself each
-# second, and another instance takes over as its monitor.
+# Lease from the last moment at which a server's monitor was a member. By its
+# end another instance has taken over as the monitor, since the server announces
+# itself each second.
 HANDOVER_S = 5.0
 # How long the tombstone of a server is kept: by then all instances know that
 # the server is gone.
 GONE_S = 60.0
-# How long servers are kept when no instance of their region is known.
+# How long servers are kept that may be cut off rather than dead: when no
+# instance of their region is a member, or many fall silent at once.
 CUT_OFF_HOLD_S = 30.0
 
 
@@ -60,7 +62,7 @@
             if server.state == "gone":
                 continue
             if server.monitor == self._me:
-                if self._is_gone(server, now):
+                if self._renew_or_mark_gone(server, now):
                     gone.append(server)
             elif server.monitor in alive:
                 self._renew(server, now, HANDOVER_S)
@@ -87,7 +89,7 @@
     ) -> None:
         self._directory.servers.renew(server.server_id, now, lease_s)
 
-    def _is_gone(self, server: messages.Server, now: float) -> bool:
+    def _renew_or_mark_gone(self, server: messages.Server, now: float) -> bool:
         """Renew the lease of a server monitored here, or mark it as gone.
 
         Returns:
@@ -128,8 +130,8 @@
         if self.vouch(server, now):
             return
         # If no instance of the region is alive, the region is cut off or has
-        # failed as a whole. With an empty pool, requests would be refused
-        # that its servers may still answer.
+        # failed as a whole. If its servers were dropped at once, requests that
+        # they may still answer would be refused.
         alive_at = self._region_alive_at.get(server.region, -math.inf)
         silent_s = now - alive_at
         if 0 < silent_s < CUT_OFF_HOLD_S:
--- a/hyssopfold/core/membership/peer_selection.py
+++ b/hyssopfold/core/membership/peer_selection.py
@@ -9,8 +9,8 @@
 
 # Peers in the own failure domain in one period of gossip.
 NEAR_PEERS = 2
-# Instances of a failure domain that exchange with another domain of the
-# region, and with another region, in one period.
+# Exchanges that all instances of a failure domain together make in one period
+# with other domains of the region, and with other regions.
 EXCHANGES_PER_PERIOD = 4.0
 
 Domain = tuple[str, str]
@@ -35,7 +35,7 @@
         me: Name of this instance.
         home: Its region and failure domain.
         member_directory: Directory of the instances.
-        rng: Source of the choice.
+        rng: Chooses among the instances.
     """
 
     def __init__(
