--- a/hyssopfold/core/consensus/peers.py
+++ b/hyssopfold/core/consensus/peers.py
@@ -233,7 +233,8 @@
             return False
         if not self.first_start:
             # These disks are blank because they were lost or replaced; a
-            # cluster with accepted state may run out of their reach.
+            # cluster with accepted state may run that this instance cannot
+            # reach.
             return False
         blank = {
             status.member.name
@@ -294,8 +295,8 @@
         new = status.member
         if old is None or old.id == new.id:
             return None
-        # Otherwise two processes with the same name would keep replacing each
-        # other.
+        # Without the check of retired ids, two processes with the same name
+        # would keep replacing each other.
         if new.id in register.retired or status.fault:
             return None
         if not self._has_caught_up(status):
@@ -307,9 +308,8 @@
     ) -> messages.AddMember | None:
         """Return the change that adds a caught-up newcomer, or None.
 
-        A newcomer under another name is added at once in place of a lost
-        member; the lost member is removed once the newcomer votes (see
-        `removal`).
+        A newcomer under another name is added as soon as a member is suspected;
+        that member is removed later, when it counts as lost (see `removal`).
 
         Args:
             status: Status of the newcomer.
--- a/hyssopfold/core/consensus/proposer.py
+++ b/hyssopfold/core/consensus/proposer.py
@@ -34,7 +34,11 @@
 
 
 class _Round:
-    """Votes collected under one ballot."""
+    """Votes collected under one ballot.
+
+    `base` is the register that this member had accepted, under `base_ballot`,
+    when the round began.
+    """
 
     def __init__(
         self,
--- a/hyssopfold/core/consensus/voter_selection.py
+++ b/hyssopfold/core/consensus/voter_selection.py
@@ -62,7 +62,7 @@
         return ""
 
     def least_needed(self, me: str) -> str:
-        """Return the member to remove: one of the region with most votes.
+        """Return the member to remove, one of the region with the most votes.
 
         The calling instance `me` is never returned, since it would have to
         confirm its own removal.
--- a/hyssopfold/storage/records.py
+++ b/hyssopfold/storage/records.py
@@ -31,7 +31,7 @@
 
 
 class Starts(NamedTuple):
-    """The number of times the folder was opened, and a nonce of the last."""
+    """The number of starts from the folder, and the nonce of the last one."""
 
     incarnation: str
     start_count: int
@@ -65,7 +65,7 @@
     observed_starts: tuple[messages.ObservedStart, ...]
 
 
-Kind = TypeVar("Kind", Identity, Starts, Promise, Register, ObservedStarts)
+Record = TypeVar("Record", Identity, Starts, Promise, Register, ObservedStarts)
 
 
 class MemberRecords:
@@ -129,8 +129,8 @@
     def _create(self) -> Identity:
         """Create the records of a blank folder, the identity last.
 
-        A crash before the identity is written loses nothing that was sent to
-        another instance; the next start creates the records again.
+        Before the identity is written, nothing is sent to another instance.
+        After a crash until then, the next start creates the records again.
         """
         starts = self._read(STARTS, Starts)
         if self._folder.read(REGISTER) is not None or (
@@ -210,7 +210,7 @@
             self.save_register(durable.accepted, durable.register)
         self.save_promise(durable.promised)
 
-    def _require(self, name: str, record_type: type[Kind]) -> Kind:
+    def _require(self, name: str, record_type: type[Record]) -> Record:
         record = self._read(name, record_type)
         if record is None:
             raise errors.CorruptStorageError(
@@ -218,12 +218,12 @@
             )
         return record
 
-    def _read(self, name: str, record_type: type[Kind]) -> Kind | None:
+    def _read(self, name: str, record_type: type[Record]) -> Record | None:
         data = self._folder.read(name)
         if data is None:
             return None
         try:
-            record: Kind = msgspec.msgpack.decode(data, type=record_type)
+            record: Record = msgspec.msgpack.decode(data, type=record_type)
         except msgspec.DecodeError as exc:
             raise errors.CorruptStorageError(
                 self._path(name), str(exc)
