--- a/hyssopfold/core/distribution/follower.py
+++ b/hyssopfold/core/distribution/follower.py
@@ -25,7 +25,9 @@
 POLLS_BEFORE_BACKOFF = 8
 WATCH_MARGIN_S = 2.0
 WATCH_RETRY_S = 1.0
+# Peers whose reported revisions are remembered.
 MAX_PEERS = 8
+# Polls for a reported revision before the follower gives up.
 MAX_POLLS = 24
 
 
@@ -151,7 +153,10 @@
 
     @property
     def is_behind(self) -> bool:
-        """Return whether a newer revision exists than is in force."""
+        """Return whether there is no revision yet or a newer one was reported.
+
+        A revision that this program cannot read counts as received.
+        """
         received = max(self.revision, self.unreadable_revision)
         return received == 0 or self.target_revision > received
 
@@ -180,8 +185,8 @@
     ) -> None:
         poll = self._pending.pop(event.poll_id, None)
         if poll is None:
-            # It came after its deadline: its transmission time and so its
-            # age are unknown.
+            # The answer came after the deadline of its poll: its transmission
+            # time and so its age are unknown.
             return
         # The answer was sent at this moment or later.
         answered_at = min(now, poll.sent_at + max(0.0, event.waited_s))
@@ -240,7 +245,7 @@
         confirmed_at: float,
         effects: list[messages.Effect],
     ) -> None:
-        """Install an update if it is newer and readable, or confirm by it."""
+        """Install an update if it is newer and readable, or renew the age."""
         if update.revision < max(self.revision, self.unreadable_revision):
             return
         if update.revision == self.revision:
@@ -271,7 +276,7 @@
         update: messages.Update,
         effects: list[messages.Effect],
     ) -> bytes | None:
-        """Return the value that an update leads to, None if it does not."""
+        """Return the value after an update, or None if it cannot be applied."""
         try:
             if update.base == 0:
                 value = update.payload
@@ -361,7 +366,7 @@
             effects.append(self._poll(self._next_control(), "fetch", now))
 
     def _catch_up(self, now: float, effects: list[messages.Effect]) -> None:
-        """Poll one source after another until the target revision is here.
+        """Poll one source after another until the target revision is installed.
 
         The next source is polled before the last poll has timed out: a lost
         message or a silent connection is noticed only by the time-out.
--- a/hyssopfold/core/distribution/history.py
+++ b/hyssopfold/core/distribution/history.py
@@ -42,7 +42,7 @@
         self.digest = rows.digest(b"")
 
     def add(self, revision: int, value: bytes) -> bool:
-        """Store a revision if it is newer than all; return whether it is.
+        """Store a revision newer than all; return whether it was stored.
 
         Raises:
             AssertionError: if the newest revision comes with other bytes.
@@ -69,7 +69,7 @@
             self._row_count -= self._stored.popleft().row_count
 
     def update_since(self, have: int, digest: bytes) -> messages.Update:
-        """Return the update of a follower to the newest revision.
+        """Return the update that brings a follower to the newest revision.
 
         It is a difference if the follower's revision is stored here with the
         same digest and the difference is shorter; else the whole value.
--- a/hyssopfold/core/distribution/messages.py
+++ b/hyssopfold/core/distribution/messages.py
@@ -8,7 +8,7 @@
 
 
 class Update(NamedTuple):
-    """What brings a follower from its revision to the newest one.
+    """The data that brings a follower from its revision to the newest one.
 
     `base` is the revision that `payload` is a difference from; 0 means that
     the payload is the whole value. An empty payload means that the sender has
