--- a/hyssopfold/core/steering/layouts.py
+++ b/hyssopfold/core/steering/layouts.py
@@ -8,7 +8,7 @@
 
 
 def of_pool(revision_tables: tables.Tables, pool: tables.Pool) -> state.Layout:
-    """Return the layout that the tables ask for the traffic of `pool`."""
+    """Return the layout that the tables specify for the traffic of `pool`."""
     routes = tuple(
         state.RouteWeights(route.name, _normalised(route.weights))
         for route in revision_tables.routes
@@ -49,10 +49,11 @@
     """Return the largest share of a route's traffic, 0 to 1, that moves.
 
     It is an upper bound of the share of the pool's traffic that moves when
-    requests are decided by `new` instead of `old`, whatever shares the routes
-    and the home regions have. It uses no measurements, so late or wrong
-    measurements can't raise the bound. It is 1 where the result depends on the
-    share of a home region or a failure domain, which the tables don't contain.
+    requests are decided by `new` instead of `old`, however the traffic is
+    distributed over the routes and the home regions. It uses no measurements,
+    so late or wrong measurements can't make the bound wrong. It is 1 if the
+    moved share depends on the share of a home region or of a failure domain,
+    which the tables don't contain.
     """
     if old == new:
         return 0.0
@@ -74,7 +75,7 @@
 def open_weights(
     weights: tuple[state.RegionWeight, ...], closed: tuple[str, ...]
 ) -> dict[str, float]:
-    """Return the shares of the open regions; if empty, the nearest is first."""
+    """Return the shares of the open regions; empty means nearest first."""
     open_by_region = {row.region: row.weight for row in weights}
     for region in closed:
         open_by_region.pop(region, None)
--- a/hyssopfold/core/steering/link_pacing.py
+++ b/hyssopfold/core/steering/link_pacing.py
@@ -7,6 +7,7 @@
 """
 
 BULK_SHARE = 0.8
+# Unused capacity of this time before a reservation may be used at once.
 BURST_S = 0.02
 _BITS = 8
 _MEGA = 1_000_000
--- a/hyssopfold/core/steering/lookup.py
+++ b/hyssopfold/core/steering/lookup.py
@@ -49,7 +49,8 @@
             instances: All instances of the directory, of any role and state.
         """
         entries = [entry for entry in instances if entry.role == "entry"]
-        # While entries start or stop, answers are cached for a shorter time.
+        # While entries start or stop, callers may cache answers for a shorter
+        # time only, see `ttl_s`.
         self.is_changing = any(entry.state != "ready" for entry in entries)
         by_region = defaultdict(list)
         for entry in entries:
--- a/hyssopfold/core/steering/regions.py
+++ b/hyssopfold/core/steering/regions.py
@@ -17,7 +17,7 @@
 
 
 class SteeringContext(NamedTuple):
-    """What the order of regions depends on besides the request itself.
+    """The input to the order of regions besides the request itself.
 
     `home_region` is the caller's region, `regions_by_delay` all regions that
     have ready servers of the pool, nearest to the entry first, and `domains`
@@ -60,8 +60,9 @@
     """Return 16 pseudo-random numbers of 32 bits, a hash of a key.
 
     The first selects the layout, the others the regions. The key contains the
-    request's id: all nodes get the same numbers, the shares in force are exact
-    over many requests, and no node needs to know the requests of the others.
+    request's id: all entries get the same numbers, the shares in force are
+    exact over many requests, and no entry needs to know the requests of the
+    others.
     """
     digest = hashlib.blake2b(
         key.encode(), digest_size=_HASH_NUMBERS.size
@@ -155,7 +156,8 @@
     Args:
         layout: The layout that decides the request.
         target: The layout of the tables in force. Regions closed in it are
-            being emptied; regions closed in `layout` alone have just come back.
+            being emptied; regions closed in `layout` alone have just come back
+            and are tried last.
         names: The request's order of regions, from `preference_order`.
         ctx: Home region and regions with ready servers.
         is_shifting: Whether a shift in progress moved the request to the first
--- a/hyssopfold/core/steering/shares.py
+++ b/hyssopfold/core/steering/shares.py
@@ -1,4 +1,4 @@
-"""The shares in force at one node: it follows the plans of shifts under a cap.
+"""The shares in force at an entry, which follow the plans under a cap.
 
 A request that a shift moved has one of two outcomes: it is "gained" if it was
 served at the target of the shift, and "turned back" if the target had no free
@@ -20,7 +20,13 @@
 MAX_STEP_S = 1.0
 # Longer than the delay of steps in a busy process, shorter than any lease.
 STALE_S = 3.0
+# A region that gets its first ready servers within this time of the start
+# counts as part of a starting system, not as one that comes back.
 START_GRACE_S = 15.0
+# The outcomes of moved requests are evaluated after `MIN_WINDOW_S` if there are
+# `MIN_SAMPLES` of them, otherwise after `MAX_WINDOW_S`. If more than
+# `HOLD_SHARE` of them are turned back, the shift waits for `HOLD_S`; if more
+# than `RETREAT_SHARE` are, the share at the target is reduced.
 MIN_WINDOW_S = 1.0
 MAX_WINDOW_S = 10.0
 HOLD_S = 5.0
@@ -47,7 +53,7 @@
 
 
 class Report(NamedTuple):
-    """A pool's shares at this node, for the status and for restarted nodes.
+    """A pool's shares at this entry, for the status and restarted entries.
 
     `parts` are the layouts in force, `target` is the layout of the tables,
     `lost` the regions without ready servers, `to_go` an upper bound of the
@@ -101,7 +107,7 @@
         self.mixture = self._planned(now, utc_s)
         self.phase: Phase = "settled"
         self.reason = "started"
-        self.ready_before: set[str] = set()
+        self.ever_ready: set[str] = set()
         self.ready: frozenset[str] = frozenset()
         self._start_grace_until = now + START_GRACE_S
         self._last_step_at = now
@@ -125,7 +131,7 @@
         self._part_cache = None
 
     def adopt(self, parts: Iterable[state.Part]) -> None:
-        """Take over the shares in force at another node."""
+        """Take over the shares in force at another entry."""
         mixture = {part.layout: part.share for part in parts}
         total = sum(mixture.values())
         if mixture and abs(total - 1.0) < 1e-3:
@@ -215,17 +221,15 @@
         its traffic to idle servers is: without a shift, all of it would reach
         servers with cold caches within a second.
         """
-        new_regions = ready - self.ready_before
-        if self.ready_before and not self.ready:
+        new_regions = ready - self.ever_ready
+        if self.ever_ready and not self.ready:
             # No region had ready servers, so there is no traffic to shift.
             self.mixture = {self.target: 1.0}
             self.lost = frozenset()
-        elif (
-            new_regions and self.ready_before and now >= self._start_grace_until
-        ):
+        elif new_regions and self.ever_ready and now >= self._start_grace_until:
             self.mixture = _close_regions(self.mixture, new_regions)
-        self.ready_before |= new_regions
-        lost = frozenset(self.ready_before - ready)
+        self.ever_ready |= new_regions
+        lost = frozenset(self.ever_ready - ready)
         self.mixture = _close_regions(self.mixture, lost - self.lost)
         self.lost = lost
         self.ready = ready
@@ -314,7 +318,7 @@
         return decision
 
     def _sorted_parts(self) -> list[tuple[state.Layout, float]]:
-        """Return the mixture, sorted so that all nodes have the same order."""
+        """Return the mixture in an order that is the same at all entries."""
         if self._part_cache is None:
             self._part_cache = sorted(self.mixture.items())
             self._decision_cache.clear()
@@ -402,7 +406,7 @@
 
 
 class TrafficShares:
-    """The mixtures in force for all pools at one node.
+    """The mixtures in force for all pools at one entry.
 
     Each entry has one object of this class and asks it for the regions of each
     request. All times `now` are monotonic seconds, all `utc_s` UTC in seconds
@@ -414,11 +418,11 @@
         self._last_step_at: float | None = None
 
     def is_stale(self, now: float) -> bool:
-        """Return whether this node has not stepped for more than `STALE_S`.
+        """Return whether `step` was not called for more than `STALE_S`.
 
         A process that was frozen while a region was lost and came back has no
         record of the loss: it would send all of its callers home at once, to
-        cold servers. It must first adopt the shares of a running node.
+        cold servers. It must first adopt the shares of a running entry.
         """
         last_step_at = self._last_step_at
         return last_step_at is not None and now - last_step_at > STALE_S
@@ -438,9 +442,9 @@
         self._pools = pools
 
     def adopt(self, pool: str, parts: Iterable[state.Part]) -> None:
-        """Take over the shares of a running node.
+        """Take over the shares of a running entry.
 
-        A node that restarts midway in a shift has lost its progress. It can't
+        An entry that restarts during a shift has lost its progress. It can't
         compute it from the plan if its clock is wrong.
         """
         if pool in self._pools:
@@ -475,7 +479,7 @@
         Args:
             route: The request's route.
             ctx: Home region and regions with ready servers.
-            key: The request's id, whose hash selects the layout.
+            key: The request's id; its hash selects the layout and regions.
             pool_name: The pool that serves it, if not the route's own.
         """
         pool_shares = self._pools.get(pool_name or route.pool)
--- a/hyssopfold/state.py
+++ b/hyssopfold/state.py
@@ -45,7 +45,7 @@
 class Shift(NamedTuple):
     """The plan that moves a pool's traffic from its mixture to a new layout.
 
-    Every node computes the planned shares from this plan alone, see
+    Every entry computes the planned shares from this plan alone, see
     `hyssopfold.core.steering.plans`. `source` are the parts in force at the
     start, whose shares sum to 1; `start_s` is UTC in seconds since 1970;
     `rate_per_minute` is the share of requests that `target` takes over in a
@@ -73,7 +73,7 @@
 
 
 class State(NamedTuple):
-    """The state that all instances agree on, at one revision.
+    """The replicated state, which all instances agree on, at one revision.
 
     `version` is the number that an operator gave the tables, 0 if they have
     none, and `rows` is the document from which they were made. `evacuated` are
