--- a/tests/core/distribution/follower.feature
+++ b/tests/core/distribution/follower.feature
@@ -72,7 +72,7 @@
     Then the distribution network has it in force everywhere within 13 s
     And the cut distribution entries report the age of their peers' revision
 
-  Scenario: nothing reaches an entry for long, then everything does
+  Scenario: an entry is cut off for long, then reachable again
     Given a distribution network of 4 entries that loses 0 %
     And distribution by push, pull and piggyback
     When distribution entry 1 is cut off from everyone for 600 s and 50 changes
@@ -83,7 +83,7 @@
     Given a distribution network of 2 entries that loses 0 %
     And distribution by push, pull and piggyback
     When distribution entry 1 is stopped for 300 s and cut off when it continues
-    Then it does not take what its buffers contained for fresh
+    Then it does not treat the messages in its buffers as recent
 
   Scenario: one-way cuts
     Given a distribution network of 6 entries that loses 0 %
--- a/tests/core/membership/gossip_protocol.feature
+++ b/tests/core/membership/gossip_protocol.feature
@@ -1,8 +1,8 @@
 Feature: gossip of servers and instances
   A server announces to one entry that it is leaving, and another entry grants
   its slots. If that entry learned of it late, it would send requests to a
-  server that stops. Datagrams also arrive twice, late and out of order, and a
-  silent region must not look like the death of all its servers.
+  server that stops. Datagrams also arrive twice, late and out of order, and
+  the servers of a region that is cut off must not be dropped at once.
 
   Background:
     Given 12 instances in 3 regions with 24 servers, loss 0
@@ -23,9 +23,9 @@
 
   Scenario Outline: a server that only asks to be removed leaves everywhere, <where>
     A server announces itself for a while, then asks once to be removed and
-    stops seconds later. That request has no sequence number. Numbered below
-    the server's last announcement, it was ignored as an old one, and requests
-    to the server continued.
+    stops seconds later. That request has no sequence number. When it got a
+    number below that of the server's last announcement, it was ignored as old,
+    and requests to the server continued.
 
     When the servers announce themselves for 10 s
     And a server asks <where> to be removed
@@ -42,9 +42,9 @@
     And its previous announcement arrives late at another instance
     Then every instance has it as cold
 
-  Scenario: a new instance does not take a server for cold that is warm again
-    An entry that had restarted sent next to no requests, for the first
-    seconds, to every server that had been cold before.
+  Scenario: a new instance does not treat a server as cold that is warm again
+    In its first seconds, a restarted entry sent next to no requests to the
+    servers that had been cold before.
 
     When a server becomes cold for 3 s, and all instances know
     And the servers announce themselves for 10 s
@@ -69,8 +69,9 @@
 
   Scenario: an instance without power is not returned to callers after 5 s
     A machine loses power. Callers that are sent there try to connect for a
-    second, of the one they have. Until its lease ended, for 6 s, a third of a
-    region's callers were sent there.
+    second, which is all the time that they have for a request. Until the
+    instance's lease ended, for 6 s, a third of a region's callers were sent
+    there.
 
     When an instance dies
     Then within 5 s every other instance suspects it and no other
@@ -87,4 +88,4 @@
     Then all instances know 24 servers and 12 instances
 
   Scenario: the traffic of gossip stays within its limit
-    Then a node sends less than 10000 bytes a second
+    Then an instance sends less than 10000 bytes a second
--- a/tests/core/membership/many.feature
+++ b/tests/core/membership/many.feature
@@ -25,9 +25,9 @@
     Then after 150 s none of the many instances has a record of it
 
   Scenario: a server that moved to another instance and then dies is gone
-    The control instances are split for a while, so that servers announce
-    themselves to other instances. Their first monitor was alive, took itself
-    for cut off, and vouched for dead servers for 30 s.
+    During a partition of the control instances, servers announce themselves to
+    other instances than before. Their first monitor still ran. It assumed that
+    it was cut off from the servers, and vouched for dead ones for 30 s.
 
     Given 16 instances that know each other in 3 regions of 2 domains with 48 servers
     When all servers of one of the many instances move to another
--- a/tests/steps/core/distribution/follower_steps.py
+++ b/tests/steps/core/distribution/follower_steps.py
@@ -327,7 +327,7 @@
     net.run(2)
 
 
-@then("it does not take what its buffers contained for fresh")
+@then("it does not treat the messages in its buffers as recent")
 def _(context):
     age = context.net.entries["entry-1"].core.age_s(context.net.now)
     assert age > 290, age
@@ -382,7 +382,9 @@
             pair for pair in self.net.cut if not set(pair) <= set(names)
         }
         name = f"control-{number}"
-        self.net.cut_between([name], [one for one in names if one != name])
+        self.net.cut_between(
+            [name], [other for other in names if other != name]
+        )
 
     @stateful.rule()
     def heal(self):
@@ -404,8 +406,8 @@
             self.net.thaw(f"entry-{number}")
 
     def _majority_learned(self):
-        held = sorted(c.recent.revision for c in self.net.control.values())
-        return held[len(held) // 2]
+        revisions = sorted(c.recent.revision for c in self.net.control.values())
+        return revisions[len(revisions) // 2]
 
     @stateful.invariant()
     def holds(self):
@@ -415,7 +417,7 @@
             revisions = [revision for revision, _ in entry.installed]
             assert revisions == sorted(set(revisions)), "went back"
             assert not revisions or revisions[0] >= self.starts[name], (
-                "started from a stale word"
+                "started from a stale revision"
             )
             core = entry.core
             if core.revision:
@@ -430,7 +432,9 @@
             self.net.thaw(f"entry-{number}")
         newest = self.net.newest()
         took = self.net.run_until(lambda: self.net.all_at(newest), 13)
-        assert took is not None, "not in force everywhere after all healed"
+        assert took is not None, (
+            "not in force everywhere after all failures ended"
+        )
 
 
 @when("distribution runs randomly with its invariants checked")
--- a/tests/steps/core/membership/gossip_protocol_steps.py
+++ b/tests/steps/core/membership/gossip_protocol_steps.py
@@ -21,11 +21,11 @@
 
 
 def _check_complete(gossip, servers, instances=None):
-    for name, node in gossip.live().items():
-        ready = node.directory.ready_servers("ledger")
+    for name, protocol in gossip.live().items():
+        ready = protocol.directory.ready_servers("ledger")
         assert len(ready) == servers, (name, len(ready))
         if instances is not None:
-            records = list(node.directory.instances.records())
+            records = list(protocol.directory.instances.records())
             assert len(records) == instances, (name, len(records))
 
 
@@ -37,14 +37,14 @@
 @then("it knows {count:d} servers when it becomes ready, within {seconds:g} s")
 def _(context, count, seconds):
     gossip = context.gossip
-    node = gossip.nodes[context.name]
+    protocol = gossip.protocols[context.name]
     until = gossip.now + seconds
-    assert not node.ready(gossip.now)
-    while not node.ready(gossip.now):
+    assert not protocol.ready(gossip.now)
+    while not protocol.ready(gossip.now):
         gossip.run(0.05)
         assert gossip.now < until
-    assert node.synced
-    assert len(node.directory.ready_servers("ledger")) == count
+    assert protocol.synced
+    assert len(protocol.directory.ready_servers("ledger")) == count
 
 
 @when("datagrams are lost at a rate of {loss:g}")
@@ -84,8 +84,8 @@
             region = gossip.servers[server_id].region
             gossip.announces_to[server_id] = next(
                 live_name
-                for live_name, node in gossip.live().items()
-                if node.myself.region == region
+                for live_name, protocol in gossip.live().items()
+                if protocol.myself.region == region
             )
 
 
@@ -100,8 +100,8 @@
 def _of_region(gossip, region):
     return {
         name
-        for name, node in gossip.nodes.items()
-        if node.myself.region == region
+        for name, protocol in gossip.protocols.items()
+        if protocol.myself.region == region
     }
 
 
@@ -109,15 +109,15 @@
 def _(context):
     gossip = context.gossip
     inside = _of_region(gossip, "r1")
-    outside = gossip.nodes.keys() - inside
+    outside = gossip.protocols.keys() - inside
     for name in inside:
         for other in outside:
             gossip.cut |= {(name, other), (other, name)}
     context.outside = outside
 
 
-def _servers_of(node, region):
-    ready = node.directory.ready_servers("ledger")
+def _servers_of(protocol, region):
+    ready = protocol.directory.ready_servers("ledger")
     return [server for server in ready if server.region == region]
 
 
@@ -125,20 +125,20 @@
 def _(context, seconds):
     context.gossip.run(seconds)
     for name in context.outside:
-        node = context.gossip.nodes[name]
+        protocol = context.gossip.protocols[name]
         assert not [
             entry
-            for entry in node.directory.ready_entries()
+            for entry in protocol.directory.ready_entries()
             if entry.region == "r1"
         ], "entries of the region are still ready"
-        assert len(_servers_of(node, "r1")) == 8, name
+        assert len(_servers_of(protocol, "r1")) == 8, name
 
 
 @then("after {seconds:d} s they do not")
 def _(context, seconds):
     context.gossip.run(seconds)
     for name in context.outside:
-        assert not _servers_of(context.gossip.nodes[name], "r1"), name
+        assert not _servers_of(context.gossip.protocols[name], "r1"), name
 
 
 @when("the cut ends")
@@ -154,15 +154,15 @@
 
 @when("an instance dies")
 def _(context):
-    context.name = next(iter(context.gossip.nodes))
+    context.name = next(iter(context.gossip.protocols))
     context.gossip.dead.add(context.name)
 
 
 @then("within {seconds:d} s no instance knows it")
 def _(context, seconds):
     context.gossip.run(seconds)
-    for node in context.gossip.live().values():
-        assert node.directory.instances.get(context.name) is None
+    for protocol in context.gossip.live().values():
+        assert protocol.directory.instances.get(context.name) is None
 
 
 @when("datagrams are duplicated and delayed at random for {seconds:d} s")
@@ -177,12 +177,12 @@
     _check_complete(context.gossip, servers, instances)
 
 
-@then("a node sends less than {limit:d} bytes a second")
+@then("an instance sends less than {limit:d} bytes a second")
 def _(context, limit):
     gossip = context.gossip
     before = gossip.sent_bytes
     gossip.run(20)
-    rate = (gossip.sent_bytes - before) / len(gossip.nodes) / 20
+    rate = (gossip.sent_bytes - before) / len(gossip.protocols) / 20
     assert 0 < rate < limit, rate
 
 
@@ -196,8 +196,8 @@
     gossip = context.gossip
     name = gossip.announces_to[SERVER_ID]
     if where == "another instance":
-        name = next(other for other in gossip.nodes if other != name)
-    gossip.execute(name, gossip.nodes[name].dismiss(SERVER_ID, gossip.now))
+        name = next(other for other in gossip.protocols if other != name)
+    gossip.execute(name, gossip.protocols[name].dismiss(SERVER_ID, gossip.now))
 
 
 @then("it is not ready during {seconds:d} s of further announcements")
@@ -213,13 +213,13 @@
 def _(context, seconds):
     gossip = context.gossip
     gossip.run(seconds)
-    for name, node in gossip.nodes.items():
+    for name, protocol in gossip.protocols.items():
         if name in gossip.dead:
             continue
         suspects = {
             other
-            for other in gossip.nodes
-            if node.is_suspect(other, gossip.now)
+            for other in gossip.protocols
+            if protocol.is_suspect(other, gossip.now)
         }
         assert suspects == gossip.dead, (name, suspects)
 
@@ -229,11 +229,11 @@
     gossip = context.gossip
     for _ in range(seconds * 4):
         gossip.run(0.25)
-        for name, node in gossip.nodes.items():
+        for name, protocol in gossip.protocols.items():
             suspects = [
                 other
-                for other in gossip.nodes
-                if node.is_suspect(other, gossip.now)
+                for other in gossip.protocols
+                if protocol.is_suspect(other, gossip.now)
             ]
             assert not suspects, (gossip.now, name, suspects)
 
@@ -253,7 +253,7 @@
     other = next(
         name for name in gossip.live() if name != gossip.announces_to[SERVER_ID]
     )
-    effects = gossip.nodes[other].announce(
+    effects = gossip.protocols[other].announce(
         context.previous_announcement, gossip.now
     )
     gossip.execute(other, effects)
--- a/tests/steps/core/membership/many_steps.py
+++ b/tests/steps/core/membership/many_steps.py
@@ -41,11 +41,11 @@
 
 
 def _check_complete(gossip):
-    for name, node in gossip.live().items():
-        ready = node.directory.ready_servers("ledger")
+    for name, protocol in gossip.live().items():
+        ready = protocol.directory.ready_servers("ledger")
         assert len(ready) == len(gossip.servers), (name, len(ready))
-        size = node.directory.instances.size
-        assert size == len(gossip.nodes), (name, size)
+        size = protocol.directory.instances.size
+        assert size == len(gossip.protocols), (name, size)
 
 
 @when("{seconds:d} s pass for the many instances")
@@ -61,10 +61,10 @@
 @then("none of them received more than {times:d} times the size of all records")
 def _(context, times):
     gossip = context.gossip
-    node = next(iter(gossip.nodes.values()))
+    protocol = next(iter(gossip.protocols.values()))
     records = [
-        *node.directory.instances.records(),
-        *node.directory.servers.records(),
+        *protocol.directory.instances.records(),
+        *protocol.directory.servers.records(),
     ]
     size = len(msgspec.msgpack.encode(records))
     most = max(gossip.received_bytes.values())
@@ -74,7 +74,7 @@
 @then("less than {limit:d} KB were sent between regions for each of them")
 def _(context, limit):
     gossip = context.gossip
-    kilobytes = gossip.far_bytes / len(gossip.nodes) / 1000
+    kilobytes = gossip.far_bytes / len(gossip.protocols) / 1000
     assert 0 < kilobytes < limit, kilobytes
 
 
@@ -113,15 +113,16 @@
     gossip = context.gossip
     entries = [
         name
-        for name, node in gossip.nodes.items()
-        if node.myself.failure_domain == "d4" and node.myself.role == "entry"
+        for name, protocol in gossip.protocols.items()
+        if protocol.myself.failure_domain == "d4"
+        and protocol.myself.role == "entry"
     ]
     gossip.dead |= set(entries[::2])
 
 
 @when("one of the many instances dies")
 def _(context):
-    context.gossip.dead.add(list(context.gossip.nodes)[-1])
+    context.gossip.dead.add(list(context.gossip.protocols)[-1])
 
 
 @then("within {seconds:d} s all of the many instances suspect it, and no other")
@@ -131,13 +132,13 @@
 
 
 def _check_suspects(gossip, expected, ignored=""):
-    for name, node in gossip.live().items():
+    for name, protocol in gossip.live().items():
         if name == ignored:
             continue
         suspects = {
             other
-            for other in gossip.nodes
-            if node.is_suspect(other, gossip.now)
+            for other in gossip.protocols
+            if protocol.is_suspect(other, gossip.now)
         }
         assert suspects == expected, (name, suspects)
 
@@ -145,7 +146,7 @@
 @when("one of the many instances is stopped for {seconds:d} s")
 def _(context, seconds):
     gossip = context.gossip
-    context.name = list(gossip.nodes)[-1]
+    context.name = list(gossip.protocols)[-1]
     gossip.dead.add(context.name)
     gossip.run(seconds)
     gossip.dead.clear()
@@ -165,15 +166,15 @@
 @then("after {seconds:d} s none of the many instances has a record of it")
 def _(context, seconds):
     context.gossip.run(seconds)
-    for name, node in context.gossip.live().items():
-        assert node.directory.servers.get(SERVER_ID) is None, name
+    for name, protocol in context.gossip.live().items():
+        assert protocol.directory.servers.get(SERVER_ID) is None, name
 
 
 @when("all servers of one of the many instances move to another")
 def _(context):
     gossip = context.gossip
     old = gossip.announces_to[SERVER_ID]
-    new = next(name for name in gossip.nodes if name != old)
+    new = next(name for name in gossip.protocols if name != old)
     moved = [
         server_id
         for server_id, receiver in gossip.announces_to.items()
@@ -185,6 +186,6 @@
 @then("the other servers are ready at all of the many instances")
 def _(context):
     gossip = context.gossip
-    for name, node in gossip.live().items():
-        ready = node.directory.ready_servers("ledger")
+    for name, protocol in gossip.live().items():
+        ready = protocol.directory.ready_servers("ledger")
         assert len(ready) == len(gossip.servers) - 1, (name, len(ready))
--- a/tests/support/fake_gossip.py
+++ b/tests/support/fake_gossip.py
@@ -54,7 +54,7 @@
         self.loss = self.duplication = 0.0
         self.delay_s = 0.002
         self.regions = regions
-        self.nodes = {}
+        self.protocols = {}
         self.dead = set()
         self.cut = set()
         self.sent_bytes = 0
@@ -74,7 +74,7 @@
         self._region_of_address = {}
         for _ in range(instances):
             self.start()
-        names = list(self.nodes)
+        names = list(self.protocols)
         self.servers = {}
         # The instance that each server announces itself to.
         self.announces_to = {}
@@ -84,7 +84,7 @@
             receivers = [
                 name
                 for name in names
-                if self.nodes[name].myself.region == server.region
+                if self.protocols[name].myself.region == server.region
             ]
             if control:
                 receivers = names[:control]
@@ -106,7 +106,7 @@
         self._region_of_address[me.gossip_address] = me.region
         rng = random.Random(self.rng.random())
         member_directory = directory.Directory(LEASE_S)
-        self.nodes[me.name] = gossip_protocol.GossipProtocol(
+        self.protocols[me.name] = gossip_protocol.GossipProtocol(
             me, self.seeds, member_directory, LEASE_S, rng, self.now
         )
         return me.name
@@ -114,8 +114,8 @@
     def live(self):
         """Return the instances that run."""
         return {
-            name: node
-            for name, node in self.nodes.items()
+            name: protocol
+            for name, protocol in self.protocols.items()
             if name not in self.dead
         }
 
@@ -127,11 +127,11 @@
             for data in datagram_wire.encode(effect.datagram):
                 self.sent += 1
                 self.sent_bytes += len(data) + _UDP_BYTES
-                region = self.nodes[name].myself.region
+                region = self.protocols[name].myself.region
                 if self._region_of_address.get(effect.address) != region:
                     self.far_bytes += len(data) + _UDP_BYTES
                 self._send(name, effect.address, data)
-        if self.nodes[name].has_news:
+        if self.protocols[name].has_news:
             self._flush_at.setdefault(name, self.now + broadcasts.BATCH_S)
 
     def _send(self, name, address, data):
@@ -155,15 +155,15 @@
         self.servers[server_id] = server
         name = self.announces_to[server_id]
         if name not in self.dead:
-            effects = self.nodes[name].announce(server, self.now)
+            effects = self.protocols[name].announce(server, self.now)
             self.execute(name, effects)
 
     def run(self, seconds):
         """Deliver datagrams and let virtual time pass."""
         until = self.now + seconds
         by_address = {
-            node.myself.gossip_address: name
-            for name, node in self.nodes.items()
+            protocol.myself.gossip_address: name
+            for name, protocol in self.protocols.items()
         }
         while True:
             due = self._queue[0][0] if self._queue else until + 1
@@ -185,7 +185,7 @@
             self.received_bytes[receiver] += len(data) + _UDP_BYTES
             datagram = datagram_wire.decode(data)
             self.execute(
-                receiver, self.nodes[receiver].receive(datagram, self.now)
+                receiver, self.protocols[receiver].receive(datagram, self.now)
             )
         self.now = until
 
@@ -194,7 +194,7 @@
             if at <= self.now:
                 del self._flush_at[name]
                 if name not in self.dead:
-                    self.execute(name, self.nodes[name].flush(self.now))
+                    self.execute(name, self.protocols[name].flush(self.now))
         if self._next_tick <= self.now:
             self._next_tick += gossip_protocol.PERIOD_S
             self._tick()
@@ -204,22 +204,22 @@
             for server_id in self.servers:
                 if server_id not in self.silent:
                     self.announce(server_id)
-        for name, node in self.live().items():
-            self.execute(name, node.tick(self.now))
+        for name, protocol in self.live().items():
+            self.execute(name, protocol.tick(self.now))
 
     def cold_at(self, server_id):
         """Return the live instances whose directory has a server as cold."""
         return [
             name
-            for name, node in self.live().items()
-            if node.directory.is_cold(server_id, self.now)
+            for name, protocol in self.live().items()
+            if protocol.directory.is_cold(server_id, self.now)
         ]
 
     def ready_at(self, server_id):
         """Return the live instances whose directory has a server as ready."""
         names = []
-        for name, node in self.live().items():
-            ready = node.directory.ready_servers("ledger")
+        for name, protocol in self.live().items():
+            ready = protocol.directory.ready_servers("ledger")
             if any(server.server_id == server_id for server in ready):
                 names.append(name)
         return names
