--- a/hyssopfold/core/consensus/node.py
+++ b/hyssopfold/core/consensus/node.py
@@ -25,6 +25,8 @@
 _MEMBER_CHANGE_PROBABILITY = 0.5
 _FIRST_STATUS_S = 0.1
 _FETCH_S = 1.0
+# Delay of the read that completes an unfinished round (see `Node._settle`), and
+# of the first such read after the start.
 _SETTLE_S = 3.0
 _FIRST_SETTLE_S = 0.3
 # Delay of the first read with discovery, where all instances may lose power at
--- a/hyssopfold/core/distribution/difference.py
+++ b/hyssopfold/core/distribution/difference.py
@@ -8,7 +8,7 @@
 
 
 class Run(NamedTuple):
-    """Part of a section: old rows from `first` before `end`, then new ones."""
+    """Part of a section: the old rows `first` to `end` - 1, then `new`."""
 
     first: int
     end: int
@@ -26,7 +26,7 @@
 
 
 class MismatchError(Exception):
-    """A difference does not match the value it was applied to."""
+    """A difference is invalid or was made for another value."""
 
 
 def between(old: rows.Rows, new: rows.Rows) -> bytes:
@@ -41,9 +41,11 @@
 def apply(value: bytes, encoded: bytes) -> bytes:
     """Return `value` with an encoded difference applied.
 
+    A difference made for another value may also give a wrong value without an
+    error; the caller compares the digest.
+
     Raises:
-        MismatchError: if the difference was made for another value or is
-            no difference at all.
+        MismatchError: if the difference does not fit the value or is invalid.
     """
     try:
         change = msgspec.msgpack.decode(encoded, type=Difference)
--- a/hyssopfold/core/distribution/rows.py
+++ b/hyssopfold/core/distribution/rows.py
@@ -13,12 +13,13 @@
 class Rows(NamedTuple):
     """A canonical value, split without knowledge of its fields.
 
-    The value is a JSON array. Each of its items that is an array of arrays
-    of arrays (the tables) gives a section for each table; any other array
-    gives one section; `shape` has for each item of the value the number of
-    its sections plus one if it is tables, 1 if it is another array, and 0 if
-    it is no array and is the only row of a section. Programs of different
-    versions can thus compare values with fields that they do not know.
+    The value is a JSON array. An item that is an array of tables (arrays of
+    arrays) is split into a section for each table. An item that is another
+    array becomes one section, and an item that is no array becomes a section
+    with a single row. `shape` has a number for each item: the number of tables
+    plus 1, or 1 for another array, or 0 for an item that is no array. Programs
+    of different versions can thus compare values with fields that they do not
+    know.
     """
 
     shape: tuple[int, ...]
@@ -45,8 +46,8 @@
             continue
         parts = _items(raw)
         if parts and all(_is_table(part) for part in parts):
-            # Tables, which differ from rows in that all items of theirs are
-            # arrays.
+            # An array of tables: all items of a table are arrays, which is
+            # not so for a row.
             shape.append(len(parts) + 1)
             sections += [_items(part) for part in parts]
         else:
--- a/hyssopfold/core/membership/heartbeats.py
+++ b/hyssopfold/core/membership/heartbeats.py
@@ -176,6 +176,7 @@
             if count.heartbeats and not 0 < newer < _HALF:
                 continue
             # For an incarnation without heartbeats so far, any count is new.
+            # Low bits of 0 count as 65,536, since 0 means no heartbeat.
             total = (
                 count.heartbeats + newer
                 if count.heartbeats
--- a/hyssopfold/core/steering/client_blocks.py
+++ b/hyssopfold/core/steering/client_blocks.py
@@ -65,6 +65,7 @@
         self._offsets = array.array("I", (0,))
         self._starts = array.array("H")
         self._sites = array.array("B")
+        # Ranges of the buckets that `assign` changed; they replace the arrays.
         self._overrides: dict[int, tuple[array.array[int], bytes]] = {}
 
     def find(self, unit: int) -> int:
@@ -236,7 +237,7 @@
         self._families[version].restore(arrays)
 
     def header(self) -> Header:
-        """Return the metadata with which `empty_arrays` reads this table."""
+        """Return the metadata from which `empty_arrays` creates the arrays."""
         sites = tuple(site for site in self._sites if site is not None)
         counts = tuple(len(items) for items in self.arrays())
         return Header(sys.byteorder, sites, counts)
@@ -270,7 +271,7 @@
 
 
 def empty_arrays(header: Header) -> list["array.array[int]"]:
-    """Return empty arrays into which a stored table is read, in order.
+    """Return empty arrays, into which the arrays of a stored table are read.
 
     Raises:
         ValueError: if the table was built on a machine of another byte order.
@@ -402,6 +403,7 @@
 def _document_error(
     source: str, line_number: int, line: str, exc: ValueError
 ) -> errors.InvalidDocumentError:
+    # The text of the error says what would be allowed.
     fault = errors.Fault(
         source, line_number, "client block", line.strip()[:80], str(exc)
     )
--- a/hyssopfold/core/steering/shares.py
+++ b/hyssopfold/core/steering/shares.py
@@ -263,7 +263,7 @@
             self.mixture = self._retreated(window.turned_back / total)
         self._window = _OutcomeWindow(now)
 
-    def _retreated(self, share: float) -> plans.Mixture:
+    def _retreated(self, turned_back_share: float) -> plans.Mixture:
         open_target = self._open_target()
         target_share = self.mixture.get(open_target, 0.0)
         others = {
@@ -278,7 +278,7 @@
             layout: layout_share / total
             for layout, layout_share in others.items()
         }
-        kept_share = target_share * (1.0 - share)
+        kept_share = target_share * (1.0 - turned_back_share)
         return plans.mix({open_target: 1.0}, source, 1.0 - kept_share)
 
     def decide(
--- a/hyssopfold/errors.py
+++ b/hyssopfold/errors.py
@@ -10,6 +10,10 @@
     Args:
         summary: What went wrong, without a full stop.
         remedy: What the reader of the message can do about it.
+
+    Attributes:
+        kind: Name of the error in logs and in answers to operators.
+        exit_status: Exit status of a command that ends with this error.
     """
 
     kind = "error"
@@ -25,7 +29,7 @@
     """A fault in a document written by an operator.
 
     `where` is the path of the faulty key in line `line` of `source`, `value`
-    what stands there and `allowed` what would be accepted.
+    is its present value and `allowed` describes the values that are accepted.
     """
 
     source: str
--- a/tests/support/fake_distribution.py
+++ b/tests/support/fake_distribution.py
@@ -12,7 +12,7 @@
 
 GOSSIP_PERIOD_S = 1.0
 CONFIRM_PERIOD_S = 1.0
-# What HTTP/2, gRPC, TCP and IP add to a message, a rough estimate that
+# Bytes that HTTP/2, gRPC, TCP and IP add to a message: a rough estimate, which
 # bench/distribution.py measures on real connections.
 FRAME_BYTES = 160
 DATAGRAM_BYTES = 28
@@ -51,7 +51,7 @@
 
 
 class FakeNetwork:
-    """Control instances and entries; loss, cuts, stops.
+    """Control instances and entries on a network with loss, cuts and stops.
 
     `cut` holds pairs (from, to) between which all messages are lost; `loss`
     is the share of the other messages lost; `delay` the least and the most
