--- a/hyssopfold/errors.py
+++ b/hyssopfold/errors.py
@@ -12,7 +12,7 @@
         remedy: What the reader of the message can do about it.
 
     Attributes:
-        kind: Name of the error in logs and in answers to operators.
+        kind: Name of the error in messages and answers to operators.
         exit_status: Exit status of a command that ends with this error.
     """
 
