--- a/tests/steps/platform/wire_steps.py
+++ b/tests/steps/platform/wire_steps.py
@@ -17,7 +17,7 @@
 from hyssopfold import state
 
 REGIONS = {"dar-1": "dar", "mwanza-1": "mwanza"}
-BEAT = {
+HEARTBEAT = {
     "service": "ledger",
     "addr": "10.1.0.9:8080",
     "zone": "dar-1",
@@ -93,53 +93,55 @@
 """
 
 
-def _server(beat):
-    body = json.dumps(beat).encode()
-    return announcements.check(wire.server("i-1", body, REGIONS))
+def _parse_server(heartbeat):
+    body = json.dumps(heartbeat).encode()
+    return announcements.check(wire.parse_heartbeat("i-1", body, REGIONS))
 
 
 @given("a platform heartbeat")
 def _(context):
-    context.beat = BEAT
+    context.heartbeat = HEARTBEAT
 
 
 @given('a platform heartbeat in which "{field}" is {value}')
 def _(context, field, value):
-    context.beat = {**BEAT, field: json.loads(value)}
+    context.heartbeat = {**HEARTBEAT, field: json.loads(value)}
 
 
 @given('a platform heartbeat without "{field}"')
 def _(context, field):
-    context.beat = {key: BEAT[key] for key in BEAT if key != field}
+    context.heartbeat = {
+        key: HEARTBEAT[key] for key in HEARTBEAT if key != field
+    }
 
 
 @then("it announces a server with its own start, count and failure domain")
 def _(context):
-    server = _server(context.beat)
+    server = _parse_server(context.heartbeat)
     assert server.server_id == "i-1"
-    assert server.incarnation == BEAT["born"]
-    assert server.sequence == BEAT["sequence"]
+    assert server.incarnation == HEARTBEAT["born"]
+    assert server.sequence == HEARTBEAT["sequence"]
     assert (server.region, server.failure_domain) == ("dar", "dar-1")
-    assert server.cold_left_s == BEAT["cold_left_s"]
-    leaving = _server({**BEAT, "state": "draining"})
+    assert server.cold_left_s == HEARTBEAT["cold_left_s"]
+    leaving = _parse_server({**HEARTBEAT, "state": "draining"})
     assert leaving.state == "leaving"
 
 
 @then('the platform\'s body is refused for "{field}"')
 def _(context, field):
     try:
-        _server(context.beat)
+        _parse_server(context.heartbeat)
     except errors.InvalidDocumentError as exc:
-        told = str(exc).replace("address", "addr").replace("pool", "service")
-        assert field in told, told
+        message = str(exc).replace("address", "addr").replace("pool", "service")
+        assert field in message, message
     else:
-        raise AssertionError("it was taken")
+        raise AssertionError("the heartbeat was accepted")
 
 
 @given('a platform configuration of version "{version}" on base "{base}"')
 def _(context, version, base):
     body = json.dumps({**CONFIG, "version": version}).encode()
-    context.platform_edit = wire.whole(body, base)
+    context.platform_edit = wire.parse_put(body, base)
     context.platform_document = context.platform_edit.build(())
 
 
@@ -149,7 +151,7 @@
     assert (edit.version, edit.base) == (version, base)
 
 
-@then("its tables hold the timeouts, splits and kinds that were sent")
+@then("its tables have the timeouts, splits and kinds that were sent")
 def _(context):
     first, second = context.platform_document.tables.routes
     assert (first.deadline_ms, first.latency_goal_ms) == (1200, 300)
@@ -162,12 +164,12 @@
 
 def _rendered(context, version):
     document = context.platform_document
-    held = state.State(document.tables, (), version, document.rows)
-    # What is kept is what is spread: it must survive the way there.
-    return json.loads(wire.render(state.decode(state.encode(held))))
+    current = state.State(document.tables, (), version, document.rows)
+    # Instances replicate the encoded state, so encoding must lose nothing.
+    return json.loads(wire.render(state.decode(state.encode(current))))
 
 
-@then("it is handed back as it was sent")
+@then("it is returned as it was sent")
 def _(context):
     assert _rendered(context, 7) == CONFIG
 
@@ -176,37 +178,37 @@
     "first route names an unknown service": ("service", "nobody"),
     "first timeout is 0": ("timeout_s", 0),
     "first host is empty": ("host", ""),
-    "first kind is unheard of": ("kind", "perhaps"),
+    "first kind is unknown": ("kind", "perhaps"),
 }
 
 
-@given("a platform configuration whose {what}")
-def _(context, what):
+@given("a platform configuration whose {defect}")
+def _(context, defect):
     config = copy.deepcopy(CONFIG)
     first, second = config["routes"]
-    if what in _BROKEN:
-        key, value = _BROKEN[what]
+    if defect in _BROKEN:
+        key, value = _BROKEN[defect]
         first[key] = value
-    elif what == "split weights add up to 0":
+    elif defect == "split weights add up to 0":
         second["split"] = [{**part, "weight": 0} for part in _SPLIT]
-    elif what == "split holds a weight below 0":
+    elif defect == "split has a weight below 0":
         second["split"][1]["weight"] = -1
-    elif what == "first two routes match the same":
+    elif defect == "first two routes match the same":
         second["path_prefix"] = first["path_prefix"]
-    elif what == "version is no number":
+    elif defect == "version is not a number":
         config["version"] = "seven"
     context.platform_body = json.dumps(config).encode()
-    if what == "text is cut short":
+    if defect == "text is truncated":
         context.platform_body = context.platform_body[:-20]
 
 
 @then("the platform's configuration is refused")
 def _(context):
     try:
-        wire.whole(context.platform_body, "00000005").build(())
+        wire.parse_put(context.platform_body, "00000005").build(())
     except errors.InvalidDocumentError:
         return
-    raise AssertionError("it was taken")
+    raise AssertionError("the configuration was accepted")
 
 
 @when('a platform patch replaces route "{changed}" and removes route "{gone}"')
@@ -217,16 +219,16 @@
         "upsert": {"routes": [route]},
         "remove": {"routes": [gone]},
     }
-    edit = wire.patch(json.dumps(patch).encode(), "00000007")
+    edit = wire.parse_patch(json.dumps(patch).encode(), "00000007")
     context.platform_document = edit.build(context.platform_document.rows)
 
 
-@then('the patched document holds "{changed}" changed and not "{gone}"')
+@then('the patched document contains "{changed}" changed and not "{gone}"')
 def _(context, changed, gone):
     (route,) = context.platform_document.tables.routes
     assert (route.name, route.deadline_ms) == (changed, 500), route
     body = _rendered(context, 9)
-    assert [one["name"] for one in body["routes"]] == [changed]
+    assert [row["name"] for row in body["routes"]] == [changed]
     assert body["services"] == CONFIG["services"]
     assert body["limits"] == CONFIG["limits"]
 
@@ -250,7 +252,7 @@
     _write(context, "\n".join(kept))
 
 
-@then("an entry finds its addresses, others and bounds in it")
+@then("an entry's settings have its addresses, seeds and bounds")
 def _(context):
     cfg = platform_settings.load_entry(str(context.boot))
     assert cfg.http_address == "10.1.0.35:8144"
@@ -260,11 +262,11 @@
     assert cfg.gossip_seeds == ("10.1.0.37:7660", "10.2.0.30:7660")
     assert cfg.stop_serve_s < cfg.stop_max_s < 6
     assert (cfg.retry_share, cfg.shared_retry_reserve) == (0.1, 28)
-    # One per cent of the 0.86 of a core that the machine has.
+    # The cost of the log lines is one per cent of the 0.86 cores.
     assert cfg.log_lines_per_s == 172
 
 
-@then("a control instance forms only at the first start")
+@then("a control instance forms a cluster only at the first start")
 def _(context):
     cfg = platform_settings.load_control(str(context.boot))
     assert not cfg.first_start
@@ -278,4 +280,4 @@
     except errors.InvalidDocumentError as exc:
         assert field in str(exc), exc
         return
-    raise AssertionError("they were taken")
+    raise AssertionError("the settings were accepted")
