--- a/tests/core/membership/gossip_protocol.feature
+++ b/tests/core/membership/gossip_protocol.feature
@@ -24,8 +24,8 @@
   Scenario Outline: a server that only asks to be removed leaves everywhere, <where>
     A server announces itself for a while, then asks once to be removed and
     stops seconds later. That request has no sequence number. When it got a
-    number below that of the server's last announcement, it was ignored as old,
-    and requests to the server continued.
+    number below that of the server's last announcement, it was ignored as old.
+    Requests to the server continued.
 
     When the servers announce themselves for 10 s
     And a server asks <where> to be removed
