--- a/tests/support/register_machine.py
+++ b/tests/support/register_machine.py
@@ -59,7 +59,7 @@
 
     @stateful.rule(index=_INDEX, behind=strategies.integers(0, 1))
     def edit(self, index, behind):
-        """Edit the newest learned revision of an instance, or an earlier one."""
+        """Edit the newest revision learned by an instance or the one before."""
         name = self._name(index)
         member = self.members.nodes.get(name)
         if member is not None:
