--- a/hyssopfold/transport/auth.py
+++ b/hyssopfold/transport/auth.py
@@ -62,7 +62,7 @@
         if not key or key.startswith("#"):
             continue
         if len(key) < MIN_KEY_CHARACTERS:
-            allowed = f"{MIN_KEY_CHARACTERS} letters or more"
+            allowed = f"{MIN_KEY_CHARACTERS} characters or more"
             faults.append(
                 errors.Fault(path, number, "key", "(hidden)", allowed)
             )
@@ -105,7 +105,7 @@
 
     def replace(self, keys: tuple[bytes, ...]) -> None:
         """Replace the keys."""
-        self._keys = {_key_id(key): _derived(key) for key in keys}
+        self._keys = {_key_id(key): _derive_key(key) for key in keys}
         self._sealing_key_id = _key_id(keys[0]) if keys else b""
 
     def seal(self, kind: str, data: bytes) -> bytes:
@@ -169,10 +169,11 @@
         """Reject a message that was received before.
 
         An attacker between two processes can record a message and send it
-        again. For `MAX_AGE_S` its MAC is remembered; later its time stamp is
-        rejected. If more messages arrive than `MAX_REMEMBERED_MACS`, the oldest
-        MAC is forgotten. This is acceptable, since all messages are safe when
-        received twice; UDP may duplicate them too.
+        again. Its MAC is remembered for twice `MAX_AGE_S`, since its time stamp
+        may be `MAX_AGE_S` ahead; later its time stamp is rejected. If more
+        messages arrive than `MAX_REMEMBERED_MACS`, the oldest MAC is forgotten.
+        This is acceptable, since all messages are safe when received twice; UDP
+        may duplicate them too.
         """
         while self._seen_macs:
             oldest, expires = next(iter(self._seen_macs.items()))
@@ -211,7 +212,7 @@
     return hashlib.sha256(b"hyssopfold-key-id" + key).digest()[:4]
 
 
-def _derived(key: bytes) -> bytes:
+def _derive_key(key: bytes) -> bytes:
     """Return a key for messages that differs from other uses of the secret."""
     return hmac.digest(key, _CONTEXT, "sha256")
 
--- a/tests/steps/security_steps.py
+++ b/tests/steps/security_steps.py
@@ -365,7 +365,7 @@
 @then("each unusable file is reported with a remedy and no key is shown")
 def _(context):
     keys, token, certificate = context.texts
-    assert "16 letters or more" in keys, keys
+    assert "16 characters or more" in keys, keys
     assert "tooshort" not in keys, keys
     assert "readable" in token, token
     assert "whose certificate and key match" in certificate, certificate
