--- a/tests/steps/transport/rpc_steps.py
+++ b/tests/steps/transport/rpc_steps.py
@@ -127,7 +127,7 @@
             await _outcome(client, Ping())
             nursery.start_soon(call, client)
             await trio.sleep(0.05)
-            server.relay.forget()
+            server.relay.blackhole_open_connections()
             context.short = await _outcome(client, Ping(), 0.1)
             context.next = await _outcome(client, Ping())
             while not context.long_outcomes:
--- a/tests/support/relay.py
+++ b/tests/support/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that can silently drop its connections."""
+"""A TCP relay that can silently discard the bytes of its connections."""
 
 import functools
 
@@ -6,11 +6,11 @@
 
 
 class Relay:
-    """Relays connections to `target` until `forget` or `cut` is called.
+    """Relays connections to `target`.
 
-    After `forget`, bytes of the open connections are discarded without a reset
-    while new connections work, as with a middlebox that lost its connection
-    table.
+    After `blackhole_open_connections`, bytes of the open connections are
+    discarded without a reset while new connections work, as with a middlebox
+    that lost its connection table. After `cut`, all bytes are discarded.
     """
 
     def __init__(self, target):
@@ -22,10 +22,10 @@
 
     def cut(self):
         """Discard all bytes, also those of new connections."""
-        self.forget()
+        self.blackhole_open_connections()
         self.is_cut = True
 
-    def forget(self):
+    def blackhole_open_connections(self):
         """Discard all further bytes of the open connections."""
         self._epoch += 1
 
