--- a/hyssopfold/serving/pipelined_request.py
+++ b/hyssopfold/serving/pipelined_request.py
@@ -24,14 +24,15 @@
 class PipelinePosition:
     """Position and times of a request on its connection.
 
-    An entry logs and measures with it how long a request waited for others.
+    An entry uses it to log and measure how long a request waited for others.
 
     Attributes:
         read_at: Monotonic time in seconds at which the head was complete.
         requests_ahead: Earlier requests that were unanswered at that time.
         started_at: Time at which the app was called.
-        ready_at: Time at which the answer began to wait for earlier ones.
-        written_at: Time at which the answer could be written.
+        ready_at: Time at which the answer began to wait for earlier ones; if
+            it did not wait, `read_at`.
+        due_at: Time at which that wait ended; if it did not wait, `read_at`.
     """
 
     def __init__(self, read_at: float, requests_ahead: int) -> None:
@@ -39,13 +40,13 @@
         self.requests_ahead = requests_ahead
         self.started_at = read_at
         self.ready_at = read_at
-        self.written_at = read_at
+        self.due_at = read_at
 
     @property
     def behind_s(self) -> float:
         """Return the seconds that the request waited for earlier ones."""
         before_start_s = self.started_at - self.read_at
-        return before_start_s + self.written_at - self.ready_at
+        return before_start_s + self.due_at - self.ready_at
 
 
 class ConnectionEndpoints(NamedTuple):
@@ -172,7 +173,7 @@
         if not self.answer_due.is_set():
             self.position.ready_at = trio.current_time()
             await self.answer_due.wait()
-            self.position.written_at = trio.current_time()
+            self.position.due_at = trio.current_time()
         data = self._encode_start() + self._encode_body(message)
         if data:
             await self._write(data)
