--- a/hyssopfold/control/announcement_acks.py
+++ b/hyssopfold/control/announcement_acks.py
@@ -1,9 +1,9 @@
 """Acknowledgement of the announcements of backend servers.
 
 A leaving server stops soon after its announcement is acknowledged. If an
-instance that is cut off from the others acknowledged it, entries would not
-learn of it and would go on sending requests to the server. Therefore an
-announcement is acknowledged only if a majority of the control instances is
+instance that is cut off from the others acknowledged the announcement, entries
+would not receive it and would go on sending requests to the server. Therefore
+an announcement is acknowledged only if a majority of the control instances is
 reachable; otherwise the server announces itself to another instance.
 """
 
@@ -49,8 +49,8 @@
         if server.state == "leaving":
             return await self._confirm()
         if not self._instance.register.members:
-            # No cluster is formed yet, so there are no others to be cut off
-            # from.
+            # No cluster is formed yet, so there is no majority that this
+            # instance could be cut off from.
             return True
         return (
             self._confirmations.age_s(trio.current_time())
--- a/hyssopfold/control/client.py
+++ b/hyssopfold/control/client.py
@@ -29,7 +29,7 @@
 
     Attributes:
         may_be_accepted: Whether an instance may have accepted the request.
-        is_silent: Whether an instance did not answer in time or broke the
+        any_silent: Whether an instance did not answer in time or broke the
             connection.
         refusal: Summary of the last refusal, or empty.
         last: The last failure.
@@ -37,7 +37,7 @@
 
     def __init__(self) -> None:
         self.may_be_accepted = False
-        self.is_silent = False
+        self.any_silent = False
         self.refusal = ""
         self.last = "no instance is configured"
 
@@ -55,7 +55,7 @@
         self._token = token
 
     def get_confirmed(self, path: str) -> Reply:
-        """Return the first answer that a majority confirmed, or else any.
+        """Return the first answer that a majority confirmed, else any answer.
 
         Args:
             path: Path of the request.
@@ -76,7 +76,7 @@
         return unconfirmed or self.get(path)
 
     def get(self, path: str) -> Reply:
-        """Return the first answer of any instance that is no server error.
+        """Return the first answer with a status below 500.
 
         Args:
             path: Path of the request.
@@ -97,7 +97,7 @@
         Raises:
             OutcomeUnknownError: if an instance may have accepted it.
             NotAcceptedError: if an instance refused it and none accepted it.
-            PeerUnavailableError: if no instance accepted it, nor can have.
+            PeerUnavailableError: if no instance accepted it or may have.
         """
         return self._ask("PUT", path, body)
 
@@ -111,7 +111,7 @@
         Raises:
             OutcomeUnknownError: if an instance may have accepted it.
             NotAcceptedError: if an instance refused it and none accepted it.
-            PeerUnavailableError: if no instance accepted it, nor can have.
+            PeerUnavailableError: if no instance accepted it or may have.
         """
         return self._ask("DELETE", path, {"change_id": name})
 
@@ -126,7 +126,7 @@
                 )
                 if reply is not None:
                     return reply
-            if not failures.is_silent:
+            if not failures.any_silent:
                 break
         if failures.may_be_accepted and body is not None:
             raise errors.OutcomeUnknownError(str(body.get("change_id", path)))
@@ -156,7 +156,7 @@
         except (httpcore.NetworkError, httpcore.TimeoutException,
                 httpcore.ProtocolError) as exc:  # fmt: skip
             failures.may_be_accepted = True
-            failures.is_silent = True
+            failures.any_silent = True
             failures.last = f"{type(exc).__name__} {exc}".strip()
             return None
         if reply.status < 500:
--- a/hyssopfold/control/instance.py
+++ b/hyssopfold/control/instance.py
@@ -20,7 +20,7 @@
 
 logger = logging.getLogger(__name__)
 
-_QUEUE = 256
+_MAX_QUEUED_EVENTS = 256
 # Seconds between two attempts to write after a failed write.
 _STORAGE_RETRY_S = 5.0
 # Seconds that an answer may take beyond the timeout of the operation.
@@ -48,7 +48,7 @@
 
 
 class _Request(NamedTuple):
-    event: messages.Operation
+    operation: messages.Operation
     answer_channel: trio.MemorySendChannel[messages.Result]
 
 
@@ -88,7 +88,7 @@
         self._outboxes = outboxes.Outboxes(node.replica.id, connect)
         events_in, self._events = trio.open_memory_channel[
             _Request | messages.Received
-        ](_QUEUE)
+        ](_MAX_QUEUED_EVENTS)
         self._inbox = events_in
         self._answer_channels: dict[
             int, trio.MemorySendChannel[messages.Result]
@@ -124,7 +124,7 @@
         )
 
     async def read(self) -> messages.Result:
-        """Return the register at a time after the start of this call."""
+        """Return the register as it was at some time after this call began."""
         return await self._ask(messages.Read)
 
     async def add_member(self, name: str) -> messages.Result:
@@ -148,13 +148,13 @@
         )
 
     async def _ask(
-        self, make: Callable[[int], messages.Operation]
+        self, make_operation: Callable[[int], messages.Operation]
     ) -> messages.Result:
         self._last_request += 1
-        event = make(self._last_request)
+        operation = make_operation(self._last_request)
         send, receive = trio.open_memory_channel[messages.Result](1)
         try:
-            self._inbox.send_nowait(_Request(event, send))
+            self._inbox.send_nowait(_Request(operation, send))
         except trio.WouldBlock:
             return messages.EditNotAccepted("too many operations wait")
         # A disk that hangs during a sync blocks the member; the operator must
@@ -247,10 +247,10 @@
         with trio.move_on_after(max(0.0, deadline - trio.current_time())):
             received = await self._events.receive()
             if isinstance(received, _Request):
-                self._answer_channels[received.event.request] = (
+                self._answer_channels[received.operation.request] = (
                     received.answer_channel
                 )
-                return received.event
+                return received.operation
             return received
         return messages.Tick()
 
--- a/hyssopfold/control/outboxes.py
+++ b/hyssopfold/control/outboxes.py
@@ -19,7 +19,7 @@
 logger = logging.getLogger(__name__)
 
 SEND_TIMEOUT_S = 2.0
-_QUEUE = 64
+_MAX_QUEUED_MESSAGES = 64
 _MAX_OUTBOXES = 32
 # Concurrent calls to one peer, so that a message doesn't wait for the round
 # trip of the previous one.
@@ -93,7 +93,9 @@
             return queue
         if self._nursery is None or len(self._queues) >= _MAX_OUTBOXES:
             return None
-        queue, receive = trio.open_memory_channel[_QueuedMessage](_QUEUE)
+        queue, receive = trio.open_memory_channel[_QueuedMessage](
+            _MAX_QUEUED_MESSAGES
+        )
         self._queues[address] = queue
         client = self._connect(address)
         for _ in range(_WORKERS):
--- a/hyssopfold/control/quarantine_records.py
+++ b/hyssopfold/control/quarantine_records.py
@@ -1,7 +1,7 @@
 """The quarantine on disk, which survives a power failure of all instances.
 
 Each control instance writes the reports it received, without a consensus. After
-a start it reports to all instances what it reads back.
+a start it sends the reports that it reads back to the other instances.
 """
 
 from collections.abc import Callable
@@ -20,7 +20,7 @@
 logger = logging.getLogger(__name__)
 
 RECORD = "quarantine"
-# Delay in which changes are collected into one write.
+# Seconds for which changes are collected into one write.
 BATCH_S = 0.2
 
 
--- a/hyssopfold/control/slot_votes.py
+++ b/hyssopfold/control/slot_votes.py
@@ -16,7 +16,7 @@
 
 
 def load(data: folder.DataFolder) -> dict[messages.PoolRegion, voter.VoteState]:
-    """Return the promises stored in the data folder.
+    """Return the vote states stored in the data folder.
 
     Raises:
         CorruptStorageError: if the record is corrupt.
@@ -31,7 +31,7 @@
 
 
 class SlotVotes:
-    """Votes on the claims of entries; stores a durable vote before sending it.
+    """Votes on claims to be grantor; a vote is stored before it is sent.
 
     Args:
         me: This incarnation of the control instance.
--- a/hyssopfold/control_components.py
+++ b/hyssopfold/control_components.py
@@ -172,8 +172,8 @@
     """Return the control instances of the cluster to form, or the seeds.
 
     Instances that find each other through seeds are named by their address,
-    since others know nothing else of them. An instance that starts there with
-    an empty data folder replaces the previous one.
+    since the address is all that others know of them. An instance that starts
+    at an address with an empty data folder replaces the previous one there.
     """
     if cfg.control:
         return [messages.Endpoint(*member) for member in cfg.control]
