--- a/hyssopfold/transport/claims_wire.py
+++ b/hyssopfold/transport/claims_wire.py
@@ -1,4 +1,4 @@
-"""RPC methods by which entries keep claims for each other."""
+"""RPC methods by which entries store idempotency-key claims for each other."""
 
 from typing import NamedTuple
 
--- a/hyssopfold/transport/crash_reports.py
+++ b/hyssopfold/transport/crash_reports.py
@@ -48,7 +48,7 @@
     Entries and control instances have one each. A crash is reported at once to
     the few instances that count the crashes of its request. From the second
     crash on the report goes to all instances, by gossip. Comparisons of digests
-    find reports that were lost, or that an instance misses since it started.
+    find reports that were lost, or that were sent before an instance started.
 
     Args:
         gossip_service: Sends the messages and lists the other instances.
@@ -117,9 +117,9 @@
 
     def _report(self, fingerprint: bytes) -> None:
         self._repeats_left[fingerprint] = REPORT_REPEATS
-        self._send_to_counting(fingerprint)
+        self._send_to_counting_instances(fingerprint)
 
-    def _send_to_counting(self, fingerprint: bytes) -> None:
+    def _send_to_counting_instances(self, fingerprint: bytes) -> None:
         """Send the report to the instances that count the request's crashes."""
         names = [instance.name for instance in self._gossip.live_instances()]
         ranked = affinity.rank_unweighted(fingerprint.hex(), names)
@@ -190,7 +190,7 @@
             self._repeats_left[fingerprint] -= 1
             if not self._repeats_left[fingerprint]:
                 del self._repeats_left[fingerprint]
-            self._send_to_counting(fingerprint)
+            self._send_to_counting_instances(fingerprint)
 
     def _send_reports(
         self,
@@ -219,13 +219,15 @@
             now = trio.current_time()
             if self.table.expire(now):
                 self._on_change(self.table)
-            is_start = now - started < START_PHASE_S
-            count = START_DIGEST_FANOUT if is_start else DIGEST_FANOUT
+            is_start_phase = now - started < START_PHASE_S
+            count = START_DIGEST_FANOUT if is_start_phase else DIGEST_FANOUT
             update = quarantine.QuarantineUpdate(
                 (), self.table.digest, expects_reply=True
             )
             self._gossip.post_all(self._draw_instances(count), update)
-            period_s = START_DIGEST_PERIOD_S if is_start else DIGEST_PERIOD_S
+            period_s = (
+                START_DIGEST_PERIOD_S if is_start_phase else DIGEST_PERIOD_S
+            )
             await trio.sleep(period_s * self._rng.uniform(0.5, 1.0))
 
     async def _receive(self) -> None:
--- a/hyssopfold/transport/datagram_wire.py
+++ b/hyssopfold/transport/datagram_wire.py
@@ -68,8 +68,8 @@
         return [data]
     half_instances = len(datagram.instances) // 2
     half_servers = len(datagram.servers) // 2
-    # Fields that are sent once are in the last datagram, so that the receiver
-    # has the records before it reads them.
+    # Fields that are not repeated here are in the last datagram only, so that
+    # the receiver has the records before it reads them.
     first = messages.Datagram(
         datagram.sender,
         datagram.revision,
--- a/hyssopfold/transport/gossip.py
+++ b/hyssopfold/transport/gossip.py
@@ -30,7 +30,7 @@
 PROPAGATION_S = gossip_protocol.PROPAGATION_S
 _RECEIVE_BYTES = 65_536
 _KIND = "Datagram"
-_QUEUE = 4096
+_MAX_QUEUED = 4096
 _MAX_ADDRESSES = 2000
 # Purposes in the count of sent bytes, by type of message; all other messages
 # count as placement.
@@ -49,7 +49,7 @@
     placement. Control instances and entries run one each.
 
     Args:
-        myself: This instance, without its changing fields.
+        myself: The initial record of this instance.
         seeds: UDP addresses of some other instances.
         lease_s: Seconds without a heartbeat after which a member counts as
             gone.
@@ -86,14 +86,14 @@
         self._started_protocol: gossip_protocol.GossipProtocol | None = None
         self._outbox_in, self._outbox = trio.open_memory_channel[
             tuple[str, bytes]
-        ](_QUEUE)
+        ](_MAX_QUEUED)
         # Received messages for the tasks that handle them: by type for the
         # tasks that subscribed to one, and all others.
         self._inboxes: dict[
             type, trio.MemorySendChannel[datagram_wire.ReceivedMessage]
         ] = {}
         self._received_messages_in, self.received_messages = (
-            trio.open_memory_channel[datagram_wire.ReceivedMessage](_QUEUE)
+            trio.open_memory_channel[datagram_wire.ReceivedMessage](_MAX_QUEUED)
         )
         # Gossip addresses by instance. They are kept beyond the end of a lease,
         # since an expired instance may still be reachable.
@@ -119,7 +119,7 @@
         """
         inbox, received_messages = trio.open_memory_channel[
             datagram_wire.ReceivedMessage
-        ](_QUEUE)
+        ](_MAX_QUEUED)
         self._inboxes[kind] = inbox
         return received_messages
 
@@ -136,7 +136,7 @@
         self._protocol.set_seeds(seeds)
 
     def update_self(self, **changes: Any) -> None:
-        """Change fields of this instance's announcement.
+        """Change fields of this instance's own record.
 
         Args:
             **changes: New values of fields of `messages.Instance`.
@@ -147,7 +147,7 @@
 
     @property
     def myself(self) -> messages.Instance:
-        """Return this instance's own announcement."""
+        """Return this instance's own record."""
         return self._protocol.myself
 
     @property
@@ -278,11 +278,11 @@
     def _handle(
         self, datagram: messages.Datagram | datagram_wire.ReceivedMessage
     ) -> None:
-        """Process a datagram; log an exception and drop the datagram.
+        """Process a datagram; log an exception and continue.
 
         Other instances receive the same datagram, and it arrives again after a
         restart: if the exception ended this task, it would end the task of
-        every instance.
+        every instance. Only `InvariantError` is raised.
         """
         try:
             if isinstance(datagram, messages.Datagram):
--- a/hyssopfold/transport/poll_wire.py
+++ b/hyssopfold/transport/poll_wire.py
@@ -31,7 +31,8 @@
     """Answer: the newest revision of the callee.
 
     Attributes:
-        update: The revision, with a difference from the caller's or the value.
+        update: The revision, with its value or the difference from the value
+            that the caller has.
         strong: Whether a majority confirmed the revision after the request.
         age_s: Seconds since the last confirmation by a majority.
         waited_s: Seconds from the request to the answer.
--- a/hyssopfold/transport/publisher.py
+++ b/hyssopfold/transport/publisher.py
@@ -68,8 +68,8 @@
         strong = False
         if req.strong and self._confirm is not None:
             # Without a majority the read ends long after the caller's timeout.
-            # An unconfirmed answer in time allows the caller to start from the
-            # answers of a majority.
+            # An unconfirmed answer in time lets the caller install its first
+            # revision from the answers of a majority.
             with trio.move_on_after(CONFIRM_TIMEOUT_S):
                 strong = await self._confirm()
         if self._waiting < MAX_WAITING_POLLS:
--- a/hyssopfold/transport/rpc.py
+++ b/hyssopfold/transport/rpc.py
@@ -375,11 +375,12 @@
 
 
 class Clients:
-    """Clients to peers whose addresses are found while running.
+    """Clients to peers whose addresses are discovered at run time.
 
     Args:
         cfg: Configuration of this process's connections.
-        max_clients: Limit of connections; the least recently used is closed.
+        max_clients: Largest number of clients; beyond it the least recently
+            used one is closed.
     """
 
     def __init__(self, cfg: ConnectionConfig, max_clients: int = 16) -> None:
--- a/hyssopfold/transport/traffic_counter.py
+++ b/hyssopfold/transport/traffic_counter.py
@@ -28,7 +28,7 @@
     ) -> None:
         self._myself = myself
         self._directory = instance_directory
-        # Count of changes of the directory that _distances was computed at.
+        # Value of the directory's `changes` when _distances was computed.
         self._distances_version = -1
         self._distances: dict[str, Distance] = {}
         self.sent_bytes: collections.Counter[tuple[str, str]] = (
