--- a/hyssopfold/serving/connection.py
+++ b/hyssopfold/serving/connection.py
@@ -49,7 +49,7 @@
 
     Args:
         listener: The listener that accepted the connection.
-        stream: The stream. The instance takes ownership of it.
+        stream: The accepted stream, which the connection owns and closes.
 
     Attributes:
         idle_since: Time at which bytes last arrived or an answer was complete.
@@ -462,8 +462,9 @@
 def _allows_next_request(request: pipelined_request.PipelinedRequest) -> bool:
     """Return whether another request may follow on the connection.
 
-    None may follow an incomplete request, a request for the close, or an offer
-    to switch protocols, since the next bytes could belong to that protocol.
+    None may follow an incomplete request, a request with `connection: close`,
+    or an offer to switch protocols, since the next bytes could belong to that
+    protocol.
     """
     return request.parser.their_state is h11.DONE
 
--- a/hyssopfold/serving/limits.py
+++ b/hyssopfold/serving/limits.py
@@ -1,4 +1,4 @@
-"""Limits on the resources that callers use of a listener."""
+"""Limits on the resources of a listener that callers may use."""
 
 from typing import NamedTuple
 
@@ -19,8 +19,8 @@
         max_connections_per_caller: Open connections of one caller.
         max_pipelined: Of the requests that a caller pipelines, how many run
             concurrently with the first one. Further ones are not started.
-        max_buffered_bytes: Unparsed bytes read of a connection. Further ones
-            stay in the buffers of the network.
+        max_buffered_bytes: Unparsed bytes of a connection at which reading
+            pauses. Further bytes stay in the socket buffers of both ends.
     """
 
     max_header_bytes: int = 16_384
--- a/hyssopfold/serving/listening.py
+++ b/hyssopfold/serving/listening.py
@@ -94,8 +94,8 @@
 
         A caller may send its next request on an open connection at any time.
         If the connection were closed without notice, that request would be
-        lost and could not be proved unsent. After the notice the caller opens
-        another connection.
+        lost, and the caller could not tell whether it ran. After the notice the
+        caller opens another connection.
         """
         self.closing = True
 
