--- a/tests/control/instance.feature
+++ b/tests/control/instance.feature
@@ -1,6 +1,6 @@
 Feature: a control instance whose disk is full
-  The disk of a control instance fills up during an edit. If the operator got
-  "accepted", an edit that is on no disk would be lost by the next restart. The
+  The disk of a control instance fills up during an edit. An edit that is
+  reported as accepted but is on no disk would be lost at the next restart. The
   outcome of an edit that can't be synced is reported as unknown or refused. The
   instance votes again when there is space.
 
--- a/tests/control/orders.feature
+++ b/tests/control/orders.feature
@@ -1,8 +1,8 @@
 Feature: orders on the replicated state
   The acknowledgement of an edit is lost. The operator sends the same edit
-  again, but another edit is already based on it. If it were refused, the
-  operator would take it for not in force. Of two concurrent edits of one
-  version, one is accepted.
+  again, but another edit is already based on it. If the repeated edit were
+  refused, the operator would conclude that it is not in force. Of two
+  concurrent edits of one version, one is accepted.
 
   Scenario: an order sent again is accepted again, also after later orders
     Given a single member that executes orders
--- a/tests/control/quarantine_records.feature
+++ b/tests/control/quarantine_records.feature
@@ -1,6 +1,7 @@
 Feature: the quarantine survives a power failure of all instances
 
-  # Guards against a loss of the reports, which more crashes would replace.
+  # Guards against a loss of the reports, after which the request would crash
+  # more servers before it is quarantined again.
   Scenario Outline: all instances lose power <when> after the last crash
     Given 13 instances that lose 0.01 of the datagrams, seeds 1 to 5
     And 3 of the instances have disks
@@ -19,7 +20,7 @@
     When the record is read
     Then the crash is 120 s ago
 
-  # Guards against control instances that don't start after a quarantine is lost.
+  # Guards against control instances that fail to start on a corrupt record.
   Scenario: a corrupt quarantine record is ignored
     Given a quarantine record that was written 100 s ago, 20 s after a crash
     When the record is corrupted
--- a/tests/serving/connection.feature
+++ b/tests/serving/connection.feature
@@ -1,7 +1,7 @@
 Feature: input on a caller's connection
-  Guards against requests that two programs parse differently, and against a
-  caller that delays others: by many connections, by a stalled upload, or by an
-  answer that it does not read.
+  Guards against request smuggling (the entry and a server parse a request
+  differently), and against a caller that delays others: by many connections,
+  by a stalled upload, or by an answer that it does not read.
 
   Scenario Outline: <what> is refused and sent to no server
     When raw bytes with <what> are sent
@@ -36,14 +36,14 @@
       | what            |
       | an h2c upgrade  |
       | a websocket     |
-      | a head request  |
+      | a HEAD request  |
       | trailers        |
       | two at once     |
       | an HTTP/1.0 get |
 
   Scenario: forged forwarding headers are replaced
     When raw bytes with forged headers are sent
-    Then the server received only the entry's own
+    Then the server received only the entry's own forwarding headers
 
   Scenario: the body is requested only if the request is accepted
     When an upload with `expect: 100-continue` is sent
--- a/tests/serving/pipelines.feature
+++ b/tests/serving/pipelines.feature
@@ -19,7 +19,7 @@
     Then all 40 are answered in order
     And at most 9 of them ran at once
 
-  Scenario: many requests after a slow one stay in the network
+  Scenario: requests after a slow one are read up to a limit
     When 20 MB of requests are sent after a slow one
     Then the listener reads less than 8 MB of them
     And another caller is answered during this time
@@ -56,7 +56,7 @@
     Then a b were cancelled
     And c was not started
 
-  Scenario: an answer in parts after another one is complete
+  Scenario: an answer sent in parts after an earlier one arrives complete
     When a pipeline is sent: /safe/a/100/2 /safe/parts-b/0/200000 /safe/c/0/2
     Then the answers are a parts-b c within 1 s
 
@@ -71,7 +71,7 @@
     When a connection fails with an unexpected error
     Then another caller is answered during this time
 
-  Scenario: a stop does not cut slow readers that pipeline
+  Scenario: a stop does not cut the answers of slow readers that pipeline
     An entry stopped while answers to a slow reader were being sent. Shutting
     down the sending side raised an error that cut all callers.
     When the listener is stopped while 8 slow readers pipeline and one uploads
--- a/tests/steps/serving/connection_steps.py
+++ b/tests/steps/serving/connection_steps.py
@@ -49,7 +49,7 @@
     "a websocket": _GET
     + b"upgrade: websocket\r\nsec-websocket-version: 13\r\n"
     + b"sec-websocket-key: abc\r\nconnection: upgrade, close\r\n\r\n",
-    "a head request": b"HEAD /x HTTP/1.1\r\nhost: a\r\n" + _CLOSE + b"\r\n",
+    "a HEAD request": b"HEAD /x HTTP/1.1\r\nhost: a\r\n" + _CLOSE + b"\r\n",
     "trailers": _POST
     + _CLOSE
     + b"trailer: t\r\ntransfer-encoding: chunked\r\n\r\n"
@@ -117,7 +117,7 @@
     assert body or context.data_path.standins[0].last_headers, data
 
 
-@then("the server received only the entry's own")
+@then("the server received only the entry's own forwarding headers")
 def _(context):
     headers = context.data_path.standins[0].last_headers
     assert headers[b"x-forwarded-for"] == b"127.0.0.1", headers
--- a/tests/support/fake_reports.py
+++ b/tests/support/fake_reports.py
@@ -11,7 +11,7 @@
 from hyssopfold.transport import datagram_wire
 
 ONE_WAY_S = 0.055
-_INBOX = 10_000
+_MAX_INBOX_MESSAGES = 10_000
 
 
 class _Entry(NamedTuple):
@@ -42,7 +42,9 @@
         self.inbox = None
 
     def subscribe(self, kind):
-        self.inbox, received_messages = trio.open_memory_channel(_INBOX)
+        self.inbox, received_messages = trio.open_memory_channel(
+            _MAX_INBOX_MESSAGES
+        )
         return received_messages
 
     def live_instances(self):
@@ -119,7 +121,7 @@
             self.start(instance.name, nursery)
 
     def send(self, sender, name, message):
-        """Deliver a message a little later, or not at all."""
+        """Deliver a message after a random delay, unless it is lost."""
         data = datagram_wire.encode_message(sender, message)
         assert len(data) <= datagram_wire.MAX_BYTES, len(data)
         if message.reports:
--- a/tests/transport/gossip.feature
+++ b/tests/transport/gossip.feature
@@ -1,7 +1,7 @@
 Feature: gossip continues after a datagram that cannot be processed
 
-  # Guards against one announcement that ends the gossip task of each instance
-  # that receives it.
+  # Guards against one datagram that ends the gossip task of each instance that
+  # receives it.
   Scenario Outline: an instance sends <what>
     Given 2 instances that gossip on loopback
     When another instance sends them <what>
