--- a/hyssopfold/control/api.py
+++ b/hyssopfold/control/api.py
@@ -111,7 +111,7 @@
         """Answer a request about the durable state, members or evacuations."""
         match (method, path):
             case ("GET", "/hyssop/v1/status"):
-                return await self._status()
+                return await self._get_status()
             case ("GET", "/hyssop/v1/backup"):
                 return await self._get_backup()
             case ("PUT", "/hyssop/v1/backup"):
@@ -120,14 +120,14 @@
                 return await self._change_members(method, path)
             case ("PUT" | "DELETE", _) if path.startswith(_EVACUATIONS_PREFIX):
                 return await self._evacuate(method, path)
-        return await self._probe(path)
+        return await self._answer_monitoring(path)
 
-    async def _probe(self, path: str) -> http.Answer:
+    async def _answer_monitoring(self, path: str) -> http.Answer:
         match path:
             case "/hyssop/v1/healthz":
                 return http.json_answer({"status": "ok"})
             case "/hyssop/v1/readyz":
-                return await self._ready()
+                return await self._get_readiness()
             case instances.PATH:
                 return instances.answer(self._gossip)
             case "/metrics":
@@ -139,13 +139,13 @@
             {"error": "not-found", "remedy": "see docs/operators"}, 404
         )
 
-    async def _ready(self) -> http.Answer:
+    async def _get_readiness(self) -> http.Answer:
         result = await self._instance.read()
         if isinstance(result, messages.ReadDone):
             return http.json_answer({"revision": result.register.revision})
         return state_answers.answer(result, "")
 
-    async def _status(self) -> http.Answer:
+    async def _get_status(self) -> http.Answer:
         result = await self._instance.read()
         confirmed = isinstance(result, messages.ReadDone)
         body = state_answers.describe_cluster(
--- a/tests/steps/control/instance_steps.py
+++ b/tests/steps/control/instance_steps.py
@@ -15,7 +15,7 @@
 
 
 class _Records:
-    """Records in memory, on a disk that can be full."""
+    """Records in memory whose saves fail while `full` is set."""
 
     def __init__(self):
         self.full = False
