--- a/hyssopfold/application.py
+++ b/hyssopfold/application.py
@@ -51,7 +51,8 @@
 
     Args:
         cfg: Settings of the instance.
-        adapters: Application on its address; by default its own interface.
+        adapters: Builds the application to serve; by default the operators'
+            API of hyssopfold.
         source: Settings file to watch for changes, if any.
     """
     # Imported here so that each daemon loads its own modules only: loading
@@ -82,7 +83,7 @@
     reloader: reloading.Reloader,
     set_seeds: Callable[[tuple[str, ...]], None],
 ) -> None:
-    """Apply changes of the settings that a running process can change."""
+    """Watch the settings file; apply changes that need no restart."""
     if source is None:
         return
     setters: dict[str, Callable[[Any], None]] = {
@@ -102,8 +103,8 @@
 
     Args:
         cfg: Settings of the entry.
-        adapters: Applications on its addresses and headers of its data path;
-            by default its own interface.
+        adapters: Builds the applications to serve and names the headers of
+            the data path; by default those of hyssopfold.
         source: Settings file to watch for changes, if any.
     """
     # Imported here so that each daemon loads its own modules only: loading
@@ -176,9 +177,11 @@
         apps: ASGI applications by address; the one on `http_address` ends last.
         children: Names and tasks to supervise.
         rng: Source of the jitter between restarts.
-        leave: Returns when no new requests are to be accepted any more.
+        leave: Called on the first signal; when it returns, `http_address`
+            stops accepting requests.
         process_security: Keys, tokens and certificates of the process.
-        listener: Connections on `http_address`; created here when left out.
+        listener: Serves the connections on `http_address`; created here when
+            left out.
     """
     stop = _StopTimer(cfg.stop_max_s)
     app = apps[cfg.http_address]
--- a/hyssopfold/certificates.py
+++ b/hyssopfold/certificates.py
@@ -106,18 +106,20 @@
 
     Args:
         plain: Listener of the TCP connections.
-        server: Context with the certificate to present.
+        server_context: Context with the certificate to present.
     """
 
     def __init__(
-        self, plain: trio.SocketListener, server: ServerContext
+        self, plain: trio.SocketListener, server_context: ServerContext
     ) -> None:
         self._plain = plain
-        self._server = server
+        self._server_context = server_context
 
     async def accept(self) -> TlsStream:
         """Return the next connection; its first I/O does the handshake."""
-        return TlsStream(await self._plain.accept(), self._server.context)
+        return TlsStream(
+            await self._plain.accept(), self._server_context.context
+        )
 
     async def aclose(self) -> None:
         """Stop accepting connections."""
--- a/hyssopfold/entry_components.py
+++ b/hyssopfold/entry_components.py
@@ -302,7 +302,7 @@
         """Return the planned stop of this entry.
 
         Args:
-            listener: Connections of callers.
+            listener: Serves the connections of callers.
         """
         return leaving.PlannedStop(
             core_stop.Stop(
--- a/hyssopfold/http.py
+++ b/hyssopfold/http.py
@@ -83,7 +83,7 @@
 
 
 def error_answer(exc: errors.HyssopError, status: int) -> Answer:
-    """Return an error as a JSON answer for an operator."""
+    """Return an error as a JSON answer to an operator or a backend server."""
     body = {"error": exc.kind, "summary": exc.summary, "remedy": exc.remedy}
     return json_answer(body, status)
 
@@ -156,7 +156,7 @@
         stop: Set to stop accepting and to finish requests in flight.
         grace_s: Longest time in seconds to wait for requests in flight, or a
             function that returns it once `stop` is set.
-        listener: Connections of `app`; created here when left out.
+        listener: Serves the connections; created here when left out.
         task_status: Started with the address once it is bound.
         tls: Context with the certificate to present, or None for plain HTTP.
 
--- a/hyssopfold/log_output.py
+++ b/hyssopfold/log_output.py
@@ -12,7 +12,7 @@
 # PIPE_BUF).
 ATOMIC_BYTES = 4096
 # Largest buffer in bytes while the reader of standard output stalls. A larger
-# one would only keep old lines in memory, and the newest lines tell most.
+# one would only keep more old lines in memory; new lines are more useful.
 MAX_BUFFERED_BYTES = 262_144
 # Largest number of lines that a process writes in a second. It limits CPU time:
 # a line costs about 50 us, so 400 take 2 % of a core.
@@ -23,7 +23,8 @@
     """Writes log lines without blocking and counts the lines it drops.
 
     A pipe whose reader stalls is full after 64 KiB. A blocking write would
-    delay every request of the process, as it has a single thread.
+    delay every request of the process, as it has a single thread. `left_out` is
+    the number of dropped lines since the start.
 
     Args:
         descriptor: File descriptor to write to.
--- a/hyssopfold/reloading.py
+++ b/hyssopfold/reloading.py
@@ -1,4 +1,7 @@
-"""Task that reads keys, tokens and certificates again when they change."""
+"""Task that reads files again when they change.
+
+These are the files of keys, tokens, certificates and settings.
+"""
 
 from collections.abc import Callable
 import logging
--- a/hyssopfold/request_log.py
+++ b/hyssopfold/request_log.py
@@ -1,4 +1,4 @@
-"""Log lines of a request, buffered until its end decides on writing them.
+"""Buffers the log lines of a request until it ends, then writes or drops them.
 
 Most requests succeed and their lines are never read; a failed request is looked
 up by its id. So the lines of a request are buffered until its end: those of a
@@ -18,7 +18,8 @@
 # Share of the line budget for successful requests; the rest is for failures and
 # for events that change the state of the process.
 SUCCESS_SHARE = 0.5
-_SCALE = float(1 << 32)
+# Number of values of the hash that selects requests, CRC-32.
+_HASH_RANGE = float(1 << 32)
 
 
 class _Line(NamedTuple):
@@ -48,8 +49,9 @@
         """Return whether to write the lines of a successful request.
 
         Args:
-            request_id: Its hash is the request's position in the sample; a
-                request with a lower one is written by more processes.
+            request_id: ID of the request. A process writes the requests whose
+                hash is below its sample rate, so a request with a low hash is
+                written by more processes than one with a high hash.
             lines: Number of lines of the request.
             now: Time in seconds.
         """
@@ -70,7 +72,7 @@
         return True
 
     def _is_sampled(self, request_id: str) -> bool:
-        position = zlib.crc32(request_id.encode()) / _SCALE
+        position = zlib.crc32(request_id.encode()) / _HASH_RANGE
         return position < self._sample_rate
 
 
@@ -89,8 +91,8 @@
 
     def add(self, logger: logging.Logger, event: str, **fields: object) -> None:
         """Record an event; it is formatted only when it is written."""
-        line = logs.Event(event, request=self._id, **fields)
-        self._lines.append(_Line(time.time(), logger, line))
+        log_event = logs.Event(event, request=self._id, **fields)
+        self._lines.append(_Line(time.time(), logger, log_event))
 
     def end(self, succeeded: bool) -> None:
         """Write the lines or drop them.
--- a/hyssopfold/security.py
+++ b/hyssopfold/security.py
@@ -80,7 +80,11 @@
 def faults(
     cfg: settings.ControlSettings | settings.EntrySettings,
 ) -> list[errors.Fault]:
-    """Return the faults of all files that `cfg` names."""
+    """Return the faults of all files that `cfg` names.
+
+    `load` stops at the first file that cannot be used, so the files of each
+    group are loaded with the keys of all other groups left empty.
+    """
     all_faults: list[errors.Fault] = []
     for group in _FILE_KEY_GROUPS:
         paths = {key: getattr(cfg, key, "") for key in group}
@@ -109,8 +113,8 @@
         )
     if not cfg.announce_token_file and not _is_loopback(cfg.http_address):
         warnings.append("anyone may announce; set announce_token_file")
-    tokens = getattr(cfg, "operators_token_file", "-")
-    if not tokens and not _is_loopback(cfg.http_address):
+    token_file = getattr(cfg, "operators_token_file", "-")
+    if not token_file and not _is_loopback(cfg.http_address):
         warnings.append("anyone may edit the tables; set operators_token_file")
     return warnings
 
@@ -146,12 +150,12 @@
         cfg.peer_certificate_key_file,
         cfg.peer_issuers_file,
     )
-    server, client = (
+    server_context, client_context = (
         certificates.ServerContext(files),
         certificates.ClientContext(files),
     )
-    reloader.watch(tuple(files), server.reload)
-    reloader.watch(tuple(files), client.reload)
+    reloader.watch(tuple(files), server_context.reload)
+    reloader.watch(tuple(files), client_context.reload)
     return connection_config._replace(
-        server_tls=server.context, client_tls=client.context
+        server_tls=server_context.context, client_tls=client_context.context
     )
--- a/hyssopfold/settings.py
+++ b/hyssopfold/settings.py
@@ -140,10 +140,12 @@
     }
     name, rpc_address = values["name"], values["rpc_address"]
     if addresses and name and name not in addresses:
-        _fault(reader, "control", f"a list without {name}", "this instance too")
+        _add_fault(
+            reader, "control", f"a list without {name}", "this instance too"
+        )
     elif rpc_address and addresses.get(name, rpc_address) != rpc_address:
         allowed = f"{addresses[name]}, as under control"
-        _fault(reader, "rpc_address", rpc_address, allowed)
+        _add_fault(reader, "rpc_address", rpc_address, allowed)
     reader.raise_faults()
     return ControlSettings(**values)
 
@@ -177,7 +179,7 @@
     return EntrySettings(**values)
 
 
-def _fault(
+def _add_fault(
     reader: documents.Reader, where: str, value: str, allowed: str
 ) -> None:
     reader.add_fault_at(reader.lines.get(where, 1), where, value, allowed)
@@ -194,11 +196,11 @@
 
 
 def _check_common(reader: documents.Reader, values: dict[str, Any]) -> None:
-    """Record faults between keys that both daemons have."""
+    """Check keys that both daemons have; record faults in `reader`."""
     if bool(values["control"]) == bool(values["control_seeds"]):
         given = "both" if values["control"] else "neither is given"
         allowed = "the members under control, or control_seeds"
-        _fault(reader, "control", given, allowed)
+        _add_fault(reader, "control", given, allowed)
     names = [member.name for member in values["control"]]
     addresses = [member.rpc_address for member in values["control"]]
     for field, values_of_key in (("name", names), ("rpc_address", addresses)):
@@ -206,21 +208,21 @@
             {item for item in values_of_key if values_of_key.count(item) > 1}
         ):
             value = f"{field} {duplicate} twice"
-            _fault(reader, "control", value, "each member once")
+            _add_fault(reader, "control", value, "each member once")
     if values["http_address"] == values["rpc_address"] != "":
         allowed = "an address other than http_address"
-        _fault(reader, "rpc_address", values["rpc_address"], allowed)
+        _add_fault(reader, "rpc_address", values["rpc_address"], allowed)
     for keys in _KEYS_SET_TOGETHER:
         if any(values[key] for key in keys):
             for key in keys:
                 if not values[key]:
                     allowed = f"a file, as {' and '.join(keys)} go together"
-                    _fault(reader, key, "(missing)", allowed)
+                    _add_fault(reader, key, "(missing)", allowed)
     if values["lease_s"] < MIN_LEASE_S:
         allowed = (
             f"{MIN_LEASE_S:g} or more: announcements are sent once a second"
         )
-        _fault(reader, "lease_s", f"{values['lease_s']:g}", allowed)
+        _add_fault(reader, "lease_s", f"{values['lease_s']:g}", allowed)
 
 
 def _read(path: str) -> str:
--- a/tests/security.feature
+++ b/tests/security.feature
@@ -11,7 +11,7 @@
 
   Scenario: the memory of a keyring is bounded under many messages
     Given a keyring and messages sealed by a peer with the same key
-    Then the keyring stores no more proofs than its limit
+    Then the keyring remembers no more MACs than its limit
 
   Scenario: random bytes instead of sealed messages
     Given a keyring and messages sealed by a peer with the same key
--- a/tests/settings.feature
+++ b/tests/settings.feature
@@ -8,7 +8,7 @@
     When the faulty settings are checked
     Then every settings fault is reported once with its line and what is allowed
 
-  Scenario Outline: dangerous values
+  Scenario Outline: values that are not allowed
     Given entry settings in which "<key>" is "<value>"
     When the faulty settings are checked
     Then the settings fault names "<key>" and allows "<allowed>"
--- a/tests/steps/security_steps.py
+++ b/tests/steps/security_steps.py
@@ -92,7 +92,7 @@
     assert _refuses(context.keyring, b"\x93")
 
 
-@then("the keyring stores no more proofs than its limit")
+@then("the keyring remembers no more MACs than its limit")
 def _(context):
     auth.MAX_REMEMBERED_MACS, original = 50, auth.MAX_REMEMBERED_MACS
     try:
