--- a/hyssopfold/cmd/ctl.py
+++ b/hyssopfold/cmd/ctl.py
@@ -100,14 +100,17 @@
 @tables.command("apply")
 @click.argument("file", type=click.Path(exists=True, dir_okay=False))
 @click.option(
-    "--expect", type=int, required=True, help="Revision that was edited."
+    "--expect",
+    type=int,
+    required=True,
+    help="Revision that the file was made from.",
 )
 @click.option("--change-id", help="ID of this edit; generated when left out.")
 @click.pass_obj
 def apply_tables(
     client: control_client.Client, file: str, expect: int, change_id: str | None
 ) -> None:
-    """Put a tables file in force if the revision has not changed since."""
+    """Put a tables file in force if --expect is still the current revision."""
     text = _parse(file)
     change_id = change_id or _new_change_id()
     body = {"expect": expect, "change_id": change_id, "tables": text}
@@ -120,7 +123,7 @@
 @cli.command()
 @click.pass_obj
 def status(client: control_client.Client) -> None:
-    """Show the revision, who votes, shares in force and planned, headroom."""
+    """Show the revision, the voters, shares in force and planned, headroom."""
     body = client.get_confirmed(_STATUS).body
     if body["confirmed"]:
         click.echo(f"revision {body['revision']}")
@@ -276,7 +279,7 @@
 
 @cli.group()
 def blocks() -> None:
-    """Build the table of client blocks that entries load."""
+    """Build the table of client address blocks that entries load."""
 
 
 @blocks.command("build")
@@ -303,7 +306,7 @@
         reply = client.put(path, {"change_id": failure_domain})
     if reply.status != 200:
         _raise_refusal(reply, failure_domain)
-    state = "has work again" if end else "is evacuated"
+    state = "receives requests again" if end else "is evacuated"
     click.echo(f"{failure_domain} {state}: revision {reply.body['revision']}")
 
 
@@ -339,13 +342,15 @@
     return text
 
 
-def _raise_refusal(reply: control_client.Reply, file: str) -> None:
+def _raise_refusal(reply: control_client.Reply, source: str) -> None:
     body: dict[str, Any] = reply.body
     if reply.status == 409:
         raise errors.ConflictError(body["revision"], body["winner"])
     if reply.status >= 400:
         detail = str(body.get("summary", body.get("error", reply.status)))
-        fault = errors.Fault(file, 1, "tables", detail, "what is allowed")
+        fault = errors.Fault(
+            source, 1, "request", detail, "a request that control accepts"
+        )
         raise errors.InvalidDocumentError([fault])
 
 
--- a/hyssopfold/cmd/explain.py
+++ b/hyssopfold/cmd/explain.py
@@ -1,4 +1,4 @@
-"""Finds a request's lines in the logs of several processes and its cause."""
+"""Finds a request's lines in logs and explains why it ended as it did."""
 
 from collections.abc import Iterable
 from collections.abc import Mapping
@@ -72,12 +72,12 @@
 
 
 def _wait(ended: Fields) -> str:
-    """Return how long a request waited behind others of its connection."""
+    """Return how long a request waited behind others on its connection."""
     ahead = ended.get("ahead", "0")
     if ahead == "0":
         return ""
     behind = ended.get("behind_s", "?")
-    return f" of these {behind} s behind {ahead} others of its connection,"
+    return f" of which {behind} s behind {ahead} others on its connection,"
 
 
 def _refusal(refused: Fields, events: Mapping[str, Fields]) -> str:
@@ -93,14 +93,14 @@
         "no-slot": f"all servers of {pool} that may serve it were full",
         "no-server": f"no server of {pool} may serve it now",
         "no-tables": "the entry had not received any tables yet",
-        "tables-behind": "no route matched, and newer tables were to come",
+        "tables-behind": "no route matched, the entry was fetching newer tables",
         "no-route": f"no route matches at version {_version(events)}",
         "deadline-passed": (
             f"no server accepted it in time, {_last_attempt(events)}"
         ),
         "quarantined": f"several servers of {pool} crashed under it before",
         "attempt-failed": (
-            f"each attempt failed without a run, {_failure(events)}"
+            f"each attempt failed before the request ran, {_failure(events)}"
         ),
     }
     reason = reasons.get(error, refused.get("detail", error))
@@ -118,7 +118,7 @@
     return (
         f"sent last to {decision.get('server')} in {decision.get('region')}"
         f" ({decision.get('reason')}, load {decision.get('load')}"
-        f" told {_load_age(decision)})"
+        f" reported {_load_age(decision)})"
     )
 
 
--- a/hyssopfold/cmd/losses.py
+++ b/hyssopfold/cmd/losses.py
@@ -1,4 +1,9 @@
-"""Summarizes from the logs of entries which requests missed their goal."""
+"""Summarizes from the logs of entries which requests missed their goal.
+
+A request misses its goal if it is refused, if its caller leaves, if its answer
+is cut, a server error (5xx), or later than the latency goal of its route. A
+request that matches no route is not counted as a miss.
+"""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -108,7 +113,7 @@
     """Return why a request missed its goal, or "" when it did not.
 
     Args:
-        events: Fields of its last line of each event.
+        events: Fields of the request's last line of each event, by event.
     """
     ended = events["ended"]
     if "refused" in events:
@@ -129,7 +134,7 @@
 def _refusal_cause(events: Mapping[str, Fields]) -> str:
     error = events["refused"].get("error", "?")
     if error == "no-route":
-        # Such a request could not have been served.
+        # No entry could have served such a request.
         return ""
     decision = events.get("routing-decision")
     if error == "deadline-passed" and decision is not None:
--- a/hyssopfold/cmd/standin.py
+++ b/hyssopfold/cmd/standin.py
@@ -124,7 +124,7 @@
 
 @cli.command()
 @click.option("--entry", required=True, help="IP:PORT of any entry.")
-@click.option("--host", required=True, help="Host to ask for.")
+@click.option("--host", required=True, help="Host name of the requests.")
 @click.option("--path", default="/catalogue/", show_default=True)
 @click.option("--method", default="GET", show_default=True)
 @click.option("--size", default=0, help="Bytes of body to send.")
--- a/hyssopfold/cmd/status.py
+++ b/hyssopfold/cmd/status.py
@@ -99,7 +99,7 @@
         )
     yield from _clock_lines(statuses.entries)
     for name in statuses.unreachable:
-        yield f"entry {name} gave no answer: the lines below lack its part"
+        yield f"entry {name} did not answer: the lines below do not include it"
     for pool, rows in sorted(_by_pool(statuses.entries).items()):
         yield f"pool {pool}"
         yield from _shift_lines(rows)
@@ -151,7 +151,10 @@
     if closed:
         yield f"  planned to be empty: {', '.join(closed)}"
     for layout, share in _mean_parts(shifts):
-        yield f"  {100 * share:.1f} % of requests go by: {_layout(layout)}"
+        yield (
+            f"  {100 * share:.1f} % of requests are routed by:"
+            f" {_layout(layout)}"
+        )
     lost = sorted({region for shift in shifts for region in shift.lost})
     if lost:
         yield f"  no ready server in: {', '.join(lost)}"
@@ -243,7 +246,7 @@
     """Return what `hyssopctl drains` prints."""
     rows = draining_servers(statuses)
     if not rows:
-        yield "nothing is being emptied"
+        yield "no server is being drained"
     pools = _by_pool(statuses.entries)
     for row in rows:
         yield (
@@ -251,8 +254,8 @@
             f" {row.reason}, {row.in_flight} requests left, {_estimate(row)};"
             f" {_verdict(row, pools[row.pool], statuses.unreachable)}"
         )
-    for pool, reports in sorted(pools.items()):
-        for reason in _wait_reasons(reports):
+    for pool, pool_statuses in sorted(pools.items()):
+        for reason in _wait_reasons(pool_statuses):
             yield f"{pool}: the shift waits: {reason}"
 
 
@@ -265,12 +268,12 @@
 
 
 def _verdict(
-    row: DrainingServer, reports: list[Body], unreachable: list[str]
+    row: DrainingServer, pool_statuses: list[Body], unreachable: list[str]
 ) -> str:
     if unreachable:
         return f"empty: not known, no answer from {', '.join(unreachable)}"
     by_shift = row.reason in ("region drained", "failure domain drained")
-    shifts = _reports(reports)
+    shifts = _reports(pool_statuses)
     if by_shift and any(shift.phase != "settled" for shift in shifts):
         to_go = max(shift.to_go for shift in shifts)
         return f"empty: no, {100 * to_go:.0f} % of the shift to go"
--- a/tests/cmd/losses.feature
+++ b/tests/cmd/losses.feature
@@ -21,7 +21,7 @@
       | waited at the entry          | late: waited at the entry                   |
 
   Scenario: requests answered in time and requests without a route are no loss
-    Given the log lines of a request that came in time
+    Given the log lines of a request that was answered in time
     And the log lines of a request that has no route
     When the losses are gathered
     Then there is no loss among 2 requests
--- a/tests/steps/cmd/losses_steps.py
+++ b/tests/steps/cmd/losses_steps.py
@@ -35,14 +35,17 @@
         _SENT,
         ("attempt-ended", "result=answered took_s=0.3"),
     ],
-    "came in time": [_SENT, ("attempt-ended", "result=answered took_s=0.3")],
+    "was answered in time": [
+        _SENT,
+        ("attempt-ended", "result=answered took_s=0.3"),
+    ],
 }
 _ENDS = {
     "met a failing server": "outcome=answered status=500 took_s=0.3 goal_s=0.6",
     "lost its caller": "outcome=caller-gone status=0 took_s=0.3 goal_s=0.6",
     "stood behind others": "outcome=answered status=200 took_s=1.1 goal_s=0.6"
     " behind_s=0.4",
-    "came in time": "outcome=answered status=200 took_s=0.3 goal_s=0.6",
+    "was answered in time": "outcome=answered status=200 took_s=0.3 goal_s=0.6",
 }
 _LATE = "outcome=answered status=200 took_s=0.95 goal_s=0.6 behind_s=0"
 
