--- a/hyssopfold/standin/caller.py
+++ b/hyssopfold/standin/caller.py
@@ -60,8 +60,9 @@
     """Outcomes that callers saw, for comparison with the servers' ledgers.
 
     `outcomes` is by idempotency key; `crossed` lists the keys of requests that
-    got the answer to another request; `cut` counts answers that ended early,
-    by error; `sends` counts attempts.
+    got the answer to another request; `cut` counts attempts without a whole
+    answer by error, except those with `ConnectError`; `sends` counts all
+    attempts.
     """
 
     def __init__(self) -> None:
@@ -98,7 +99,7 @@
 
 
 class Caller:
-    """Calls as a caller's program does: look-up, requests, resends.
+    """Looks up entries, sends requests and resends them, as a program would.
 
     Args:
         host: Host name of the requests.
@@ -231,14 +232,14 @@
                 self.ledger.cut[type(exc).__name__] += 1
                 outcome = RequestOutcome.UNKNOWN
                 continue
-            outcome = self._judge(key, target, answer, outcome)
+            outcome = self._outcome_after(key, target, answer, outcome)
             if outcome is RequestOutcome.ANSWERED:
                 break
             await trio.sleep(_wait_s(answer))
         self.ledger.outcomes[key] = outcome
         return outcome
 
-    def _judge(
+    def _outcome_after(
         self, key: str, target: str, answer: Answer, previous: RequestOutcome
     ) -> RequestOutcome:
         """Return the request's outcome after an answer to one attempt.
--- a/hyssopfold/standin/wire.py
+++ b/hyssopfold/standin/wire.py
@@ -19,6 +19,7 @@
     ("shed", "shed-bare", "shed-other", "die-at-head", "reset-at-head", "early")
 )
 # Faults of a server that runs the request, then sends a faulty answer or none.
+# The fault `hold` stops before the run: the request stays open without answer.
 AFTER_RUN = frozenset(
     (
         "die",
@@ -176,7 +177,7 @@
         return False
 
     def reset_on_close(self) -> None:
-        """Let the close reset the TCP connection."""
+        """Make `aclose` reset the TCP connection instead of closing it."""
         self.stream.socket.setsockopt(
             socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE
         )
