--- a/hyssopfold/http.py
+++ b/hyssopfold/http.py
@@ -58,14 +58,14 @@
 def refusal_answer(
     refusal: Refusal,
     retry_after: Callable[[float], bytes],
-    outcome_name: bytes,
+    outcome_header: bytes,
 ) -> Answer:
     """Return the answer to a caller whose request is refused.
 
     Args:
         refusal: Status, reason, outcome and remedy.
         retry_after: Formats seconds as the retry-after header's value.
-        outcome_name: Name of the header for the outcome; empty for none.
+        outcome_header: Name of the header for the outcome; empty for none.
     """
     body = msgspec.json.encode(
         {
@@ -75,10 +75,10 @@
         }
     )
     headers: tuple[tuple[bytes, bytes], ...] = ()
-    if refusal.outcome == "not-run" or outcome_name:
+    if refusal.outcome == "not-run" or outcome_header:
         headers = ((b"retry-after", retry_after(refusal.retry_after_s)),)
-    if outcome_name:
-        headers += ((outcome_name, refusal.outcome.encode()),)
+    if outcome_header:
+        headers += ((outcome_header, refusal.outcome.encode()),)
     return Answer(refusal.status, body, headers=headers)
 
 
