--- a/tests/steps/fuzz/inputs_steps.py
+++ b/tests/steps/fuzz/inputs_steps.py
@@ -119,6 +119,7 @@
 
 
 def _expect_refusal(read, data):
+    # Passes if `read` accepts the data or refuses it with one of `REFUSALS`.
     try:
         read(data)
     except REFUSALS:
