--- a/hyssopfold/cmd/ctl.py
+++ b/hyssopfold/cmd/ctl.py
@@ -349,7 +349,7 @@
     if reply.status >= 400:
         detail = str(body.get("summary", body.get("error", reply.status)))
         fault = errors.Fault(
-            source, 1, "request", detail, "a request that control accepts"
+            source, 1, "tables", detail, "a request that control accepts"
         )
         raise errors.InvalidDocumentError([fault])
 
--- a/hyssopfold/cmd/explain.py
+++ b/hyssopfold/cmd/explain.py
@@ -93,7 +93,9 @@
         "no-slot": f"all servers of {pool} that may serve it were full",
         "no-server": f"no server of {pool} may serve it now",
         "no-tables": "the entry had not received any tables yet",
-        "tables-behind": "no route matched, the entry was fetching newer tables",
+        "tables-behind": (
+            "no route matched while the entry fetched newer tables"
+        ),
         "no-route": f"no route matches at version {_version(events)}",
         "deadline-passed": (
             f"no server accepted it in time, {_last_attempt(events)}"
