--- a/hyssopfold/http.py
+++ b/hyssopfold/http.py
@@ -58,14 +58,14 @@
 def refusal_answer(
     refusal: Refusal,
     retry_after: Callable[[float], bytes],
-    outcome_name: bytes,
+    outcome_header: bytes,
 ) -> Answer:
     """Return the answer to a caller whose request is refused.
 
     Args:
         refusal: Status, reason, outcome and remedy.
         retry_after: Formats seconds as the retry-after header's value.
-        outcome_name: Name of the header for the outcome; empty for none.
+        outcome_header: Name of the header for the outcome; empty for none.
     """
     body = msgspec.json.encode(
         {
@@ -75,15 +75,15 @@
         }
     )
     headers: tuple[tuple[bytes, bytes], ...] = ()
-    if refusal.outcome == "not-run" or outcome_name:
+    if refusal.outcome == "not-run" or outcome_header:
         headers = ((b"retry-after", retry_after(refusal.retry_after_s)),)
-    if outcome_name:
-        headers += ((outcome_name, refusal.outcome.encode()),)
+    if outcome_header:
+        headers += ((outcome_header, refusal.outcome.encode()),)
     return Answer(refusal.status, body, headers=headers)
 
 
 def error_answer(exc: errors.HyssopError, status: int) -> Answer:
-    """Return an error as a JSON answer for an operator."""
+    """Return an error as a JSON answer to an operator or a backend server."""
     body = {"error": exc.kind, "summary": exc.summary, "remedy": exc.remedy}
     return json_answer(body, status)
 
@@ -156,7 +156,7 @@
         stop: Set to stop accepting and to finish requests in flight.
         grace_s: Longest time in seconds to wait for requests in flight, or a
             function that returns it once `stop` is set.
-        listener: Connections of `app`; created here when left out.
+        listener: Serves the connections; created here when left out.
         task_status: Started with the address once it is bound.
         tls: Context with the certificate to present, or None for plain HTTP.
 
--- a/tests/steps/security_steps.py
+++ b/tests/steps/security_steps.py
@@ -92,7 +92,7 @@
     assert _refuses(context.keyring, b"\x93")
 
 
-@then("the keyring stores no more proofs than its limit")
+@then("the keyring remembers no more MACs than its limit")
 def _(context):
     auth.MAX_REMEMBERED_MACS, original = 50, auth.MAX_REMEMBERED_MACS
     try:
@@ -365,7 +365,7 @@
 @then("each unusable file is reported with a remedy and no key is shown")
 def _(context):
     keys, token, certificate = context.texts
-    assert "16 letters or more" in keys, keys
+    assert "16 characters or more" in keys, keys
     assert "tooshort" not in keys, keys
     assert "readable" in token, token
     assert "whose certificate and key match" in certificate, certificate
