--- a/hyssopfold/entry/local_placement.py
+++ b/hyssopfold/entry/local_placement.py
@@ -31,9 +31,10 @@
 # Entries that get a report, drawn at random for each report: bounds the number
 # of messages in a large region.
 MAX_SILENCE_REPORT_RECEIVERS = 24
-# Time during which loads of busy servers are collected into one report, and the
-# number of entries of the failure domain on each side that get it.
+# Time during which loads of busy servers are collected into one report.
 BUSY_BATCH_S = 0.1
+# Entries that get this report on each side of this entry, in a ring of the
+# failure domain's entries ordered by name.
 NEIGHBOURS_EACH_SIDE = 4
 # Servers in one datagram, of 5 bytes each; no region has more silent or busy
 # servers at the same time.
@@ -65,8 +66,9 @@
         self._evacuated = evacuated
         self._reopened = reopened.ReopenedDomains(gossip_service.directory)
         self._warm_up_s: dict[str, float] = {}
-        # Entries that serve callers, and their names. The names are computed
-        # again only when the entries change.
+        # Entries that serve callers, their names, and the names of those that
+        # get reports of busy servers. The names are computed again only when
+        # the entries change.
         self._entries: tuple[membership.Instance, ...] = ()
         self._names: tuple[str, ...] = ()
         self._neighbours: tuple[str, ...] = ()
@@ -141,7 +143,7 @@
             self._busy_event.set()
 
     def in_flight(self) -> dict[str, int]:
-        """Return the requests under way by server."""
+        """Return the number of running requests by server id."""
         return self._chooser.in_flight()
 
     def set_pools(self, pools: Iterable[tables.Pool]) -> None:
@@ -191,7 +193,7 @@
             )
 
     async def _report_busy(self) -> None:
-        """Report servers at which requests wait to neighbouring entries."""
+        """Report to neighbouring entries the servers at which requests wait."""
         while True:
             await self._busy_event.wait()
             await trio.sleep(BUSY_BATCH_S)
--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -56,7 +56,8 @@
         retry_share: Retries that each request of a pool adds to the budget.
         shared_retry_reserve: Unused retries that all entries together may
             keep. If 0, each entry has its own reserve.
-        log_lines_per_s: Log lines of successful requests per second.
+        log_lines_per_s: Largest number of log lines of successful requests per
+            second.
     """
 
     max_body_bytes: int = exchange_module.MAX_BODY_BYTES
@@ -368,12 +369,12 @@
 
 
 def _tables_behind() -> http.Refusal:
-    remedy = "ask again soon: this entry is fetching newer tables"
+    remedy = "retry soon: this entry is fetching newer tables"
     return http.Refusal(
         503, "tables-behind", "not-run", remedy, _TABLES_BEHIND_RETRY_S
     )
 
 
 def _no_tables() -> http.Refusal:
-    remedy = "ask again soon: this entry has not learned the tables yet"
+    remedy = "retry soon: this entry has not received the tables yet"
     return http.Refusal(503, "no-tables", "not-run", remedy, _NO_TABLES_RETRY_S)
