--- a/hyssopfold/control/state_answers.py
+++ b/hyssopfold/control/state_answers.py
@@ -110,7 +110,7 @@
         others[myself.id] = myself
     instances = []
     for member_id, member in {**voters, **others}.items():
-        observed = _Observed(0, False, "no recent status received")
+        observed = _Observed(0, False, "not heard of")
         if member_id == myself.id:
             observed = _Observed(register.revision, True, node.fault)
         elif member_id in recent:
--- a/hyssopfold/entry/answers.py
+++ b/hyssopfold/entry/answers.py
@@ -91,10 +91,7 @@
     """
     retry_after_s = effect.retry_after_s
     if effect.error == "quarantined":
-        remedy = (
-            f"repair the servers of pool {pool}: several crashed while they"
-            " ran this request"
-        )
+        remedy = f"mend the servers of pool {pool}: several crashed under it"
         return http.Refusal(
             503, effect.error, effect.outcome.value, remedy, retry_after_s
         )
@@ -105,7 +102,7 @@
         remedy = "send the request again"
     else:
         status = 503
-        remedy = f"retry later: no server of pool {pool} has a free slot"
+        remedy = f"ask again later: no server of pool {pool} has a free slot"
     return http.Refusal(
         status,
         effect.error,
--- a/hyssopfold/entry/claims.py
+++ b/hyssopfold/entry/claims.py
@@ -300,26 +300,26 @@
     claims.VerdictKind.RUNNING: (
         409,
         "unknown",
-        "wait: the first request with this key is still running",
+        "wait: the first request with this key is still under way",
     ),
     claims.VerdictKind.ANSWERED: (
         409,
         "unknown",
-        "check the effect of the first request with this key, which was"
+        "look at the effect of the first request with this key, which was"
         " answered with status {status}",
     ),
     claims.VerdictKind.UNKNOWN: (
         409,
         "unknown",
-        "check whether the first request with this key took effect",
+        "look whether the first request with this key took effect",
     ),
     claims.VerdictKind.OTHER_REQUEST: (
         422,
         "not-run",
         "use a new key: this one belongs to a different request",
     ),
-    claims.VerdictKind.FULL: (503, "not-run", "retry later"),
-    claims.VerdictKind.UNREACHABLE: (503, "not-run", "retry later"),
+    claims.VerdictKind.FULL: (503, "not-run", "ask again later"),
+    claims.VerdictKind.UNREACHABLE: (503, "not-run", "ask again later"),
 }
 
 
--- a/hyssopfold/entry/exchange.py
+++ b/hyssopfold/entry/exchange.py
@@ -258,7 +258,7 @@
         target: bytes = self.scope["raw_path"]
         if not target.startswith(b"/") and target != b"*":
             return _bad_request(
-                "send only the path in the request line, and a host header"
+                "send the path alone in the request line, host in host"
             )
         path: str = self.scope["path"]
         if "/../" in f"{path}/" or "/./" in f"{path}/" or "\0" in path:
--- a/hyssopfold/entry/proxy.py
+++ b/hyssopfold/entry/proxy.py
@@ -369,12 +369,12 @@
 
 
 def _tables_behind() -> http.Refusal:
-    remedy = "retry soon: this entry is fetching newer tables"
+    remedy = "ask again soon: this entry is fetching newer tables"
     return http.Refusal(
         503, "tables-behind", "not-run", remedy, _TABLES_BEHIND_RETRY_S
     )
 
 
 def _no_tables() -> http.Refusal:
-    remedy = "retry soon: this entry has not received the tables yet"
+    remedy = "ask again soon: this entry has not learned the tables yet"
     return http.Refusal(503, "no-tables", "not-run", remedy, _NO_TABLES_RETRY_S)
--- a/hyssopfold/serving/refusals.py
+++ b/hyssopfold/serving/refusals.py
@@ -9,7 +9,7 @@
     408: ("too-slow", "send the whole request head at once"),
     431: ("head-too-large", "send shorter headers or a shorter target"),
     500: ("internal-error", "look whether it took effect; tell the operators"),
-    501: ("not-implemented", "use no transfer coding other than chunked"),
+    501: ("not-implemented", "use no transfer coding but chunked"),
     502: ("answer-cut", "look whether it took effect before sending it again"),
 }
 
