--- a/tests/platform/wire.feature
+++ b/tests/platform/wire.feature
@@ -4,7 +4,7 @@
 
   Scenario: a heartbeat is converted to an announcement
     Given a platform heartbeat
-    Then it announces a server with its own start, count and failure domain
+    Then it announces a server with its start, sequence number and failure domain
 
   Scenario Outline: a heartbeat with an invalid field is refused
     Given a platform heartbeat in which "<field>" is <value>
@@ -20,8 +20,8 @@
       | sequence | -1          |
 
   Scenario Outline: a heartbeat with a missing field is refused
-    A default would be wrong: without cold_left_s a cold server would count as
-    warm.
+    These fields have no safe default: if cold_left_s defaulted to 0, a cold
+    server would count as warm.
 
     Given a platform heartbeat without "<field>"
     Then the platform's body is refused for "<field>"
--- a/tests/steps/platform/wire_steps.py
+++ b/tests/steps/platform/wire_steps.py
@@ -115,7 +115,9 @@
     }
 
 
-@then("it announces a server with its own start, count and failure domain")
+@then(
+    "it announces a server with its start, sequence number and failure domain"
+)
 def _(context):
     server = _parse_server(context.heartbeat)
     assert server.server_id == "i-1"
@@ -174,7 +176,7 @@
     assert _rendered(context, 7) == CONFIG
 
 
-_BROKEN = {
+_ROUTE_DEFECTS = {
     "first route names an unknown service": ("service", "nobody"),
     "first timeout is 0": ("timeout_s", 0),
     "first host is empty": ("host", ""),
@@ -186,8 +188,8 @@
 def _(context, defect):
     config = copy.deepcopy(CONFIG)
     first, second = config["routes"]
-    if defect in _BROKEN:
-        key, value = _BROKEN[defect]
+    if defect in _ROUTE_DEFECTS:
+        key, value = _ROUTE_DEFECTS[defect]
         first[key] = value
     elif defect == "split weights add up to 0":
         second["split"] = [{**part, "weight": 0} for part in _SPLIT]
@@ -211,20 +213,22 @@
     raise AssertionError("the configuration was accepted")
 
 
-@when('a platform patch replaces route "{changed}" and removes route "{gone}"')
-def _(context, changed, gone):
+@when(
+    'a platform patch replaces route "{changed}" and removes route "{removed}"'
+)
+def _(context, changed, removed):
     route = {**CONFIG["routes"][1], "name": changed, "timeout_s": 0.5}
     patch = {
         "version": "00000009",
         "upsert": {"routes": [route]},
-        "remove": {"routes": [gone]},
+        "remove": {"routes": [removed]},
     }
     edit = wire.parse_patch(json.dumps(patch).encode(), "00000007")
     context.platform_document = edit.build(context.platform_document.rows)
 
 
-@then('the patched document contains "{changed}" changed and not "{gone}"')
-def _(context, changed, gone):
+@then('the patched document contains "{changed}" changed and not "{removed}"')
+def _(context, changed, removed):
     (route,) = context.platform_document.tables.routes
     assert (route.name, route.deadline_ms) == (changed, 500), route
     body = _rendered(context, 9)
@@ -233,7 +237,7 @@
     assert body["limits"] == CONFIG["limits"]
 
 
-def _write(context, text):
+def _write_settings(context, text):
     folder = tempfile.mkdtemp()
     context.add_cleanup(shutil.rmtree, folder)
     context.boot = pathlib.Path(folder) / "boot.toml"
@@ -242,14 +246,14 @@
 
 @given("a settings file of the platform")
 def _(context):
-    _write(context, SETTINGS)
+    _write_settings(context, SETTINGS)
 
 
 @given('a settings file of the platform without "{field}"')
 def _(context, field):
     lines = SETTINGS.splitlines()
     kept = [line for line in lines if not line.startswith(f"{field} =")]
-    _write(context, "\n".join(kept))
+    _write_settings(context, "\n".join(kept))
 
 
 @then("an entry's settings have its addresses, seeds and bounds")
