--- a/scripts/check.py
+++ b/scripts/check.py
@@ -28,7 +28,7 @@
 class Result(NamedTuple):
     """Names of the checks and scenarios that passed and failed.
 
-    `output` is shown to the developer; it is empty if nothing failed.
+    `output` is printed; it is empty if nothing failed.
     """
 
     passed: list[str]
@@ -53,7 +53,7 @@
     return checks_to_run
 
 
-def feature_groups() -> list[pathlib.Path]:
+def feature_files() -> list[pathlib.Path]:
     """Return the feature files, each of which runs in its own process."""
     return sorted(TESTS.rglob("*.feature"))
 
@@ -92,7 +92,7 @@
 
 def run_feature(path: pathlib.Path) -> Result:
     """Run one feature file; count its scenarios."""
-    group = str(path.relative_to(ROOT))
+    file_name = str(path.relative_to(ROOT))
     with tempfile.TemporaryDirectory() as folder:
         report = pathlib.Path(folder) / "report.json"
         command = (
@@ -104,19 +104,19 @@
         try:
             features = json.loads(report.read_text(encoding="utf-8"))
         except (OSError, ValueError):
-            return Result([], [f"{group}: no report was written"], output)
+            return Result([], [f"{file_name}: no report was written"], output)
     passed, failed = [], []
     for feature in features:
         for element in feature.get("elements", []):
             if element["type"] == "background":
                 continue
-            name = f"{group}: {element['name']}"
+            name = f"{file_name}: {element['name']}"
             names = passed if element["status"] == "passed" else failed
             names.append(name)
     if not succeeded and not failed:
-        failed.append(f"{group}: failed outside a scenario")
+        failed.append(f"{file_name}: failed outside a scenario")
     if succeeded and not passed:
-        failed.append(f"{group}: no scenario ran")
+        failed.append(f"{file_name}: no scenario ran")
     return Result(passed, failed, "" if succeeded else output)
 
 
@@ -132,7 +132,7 @@
     """Run all checks; print failures and counts; return the exit status."""
     with futures.ThreadPoolExecutor(WORKERS) as pool:
         jobs = [pool.submit(run_check, check) for check in checks()]
-        jobs += [pool.submit(run_feature, path) for path in feature_groups()]
+        jobs += [pool.submit(run_feature, path) for path in feature_files()]
         results = [job.result() for job in jobs]
     failed = [name for result in results for name in result.failed]
     passed = [name for result in results for name in result.passed]
