--- a/spec/attempts_spec.py
+++ b/spec/attempts_spec.py
@@ -3,7 +3,8 @@
 The state of the entry is modelled apart from that of the servers: a request of
 which bytes were sent is executed now, later or never. The invariants must hold
 under the rules of the program; each variant, which lacks one rule, must violate
-one of them. Run as a script.
+one of them. An answer or a refusal ("shed") is called foreign if it doesn't
+have the id of this request. Run as a script.
 """
 
 import sys
@@ -57,7 +58,7 @@
 
 
 def failed(state: State, rules: Rules, certain: bool) -> State:
-    """Return the state after an attempt without an answer.
+    """Return the state after an attempt that brought no valid answer.
 
     Args:
         state: State before.
--- a/spec/claims_spec.py
+++ b/spec/claims_spec.py
@@ -32,7 +32,8 @@
             asked, "yes", "no", or "lost" if there was no reply.
         phases: For each request, what it does.
         fault_count: Number of faults so far.
-        cut_link: A request and an entry that it can't reach.
+        cut_link: A request and an entry that it can't reach; (FREE, FREE) if
+            there is no such fault.
         runs: How often the request was executed.
         outcomes: For each request, "not-run" if its caller received that.
     """
@@ -99,7 +100,7 @@
 
 
 def decide(state: State, request: int, rules: Rules) -> State:
-    """Return the state after a request has the replies of all it asked."""
+    """Return the state after a request decides by the replies it received."""
     received = [reply for reply in state.replies[request] if reply]
     granted = "yes" in received and "no" not in received
     if not rules.all_must_grant:
@@ -117,12 +118,16 @@
     """Return the steps with which a request that may run can end."""
     done = state._replace(phases=replace_item(state.phases, request, "done"))
     ran = done._replace(runs=state.runs + 1)
-    lost = ran if rules.keep_unknown else release(ran, request, rules)
+    unknown = ran if rules.keep_unknown else release(ran, request, rules)
     not_run = release(done, request, rules)
     refused = not_run._replace(
         outcomes=replace_item(state.outcomes, request, "not-run")
     )
-    return [("answered", ran), ("outcome unknown", lost), ("not run", refused)]
+    return [
+        ("answered", ran),
+        ("outcome unknown", unknown),
+        ("not run", refused),
+    ]
 
 
 def next_steps(state: State, rules: Rules) -> list[tuple[str, State]]:
--- a/spec/register_spec.py
+++ b/spec/register_spec.py
@@ -156,7 +156,7 @@
 
 
 def proposed_registers(state: State) -> dict[int, Register]:
-    """Return the register of each ballot; `NONE` has the first register."""
+    """Return the register of each ballot; that of `NONE` is `START`."""
     registers = {NONE: START}
     for ballot, ballot_state in enumerate(state.ballots, 1):
         if ballot_state.proposal is not None:
@@ -177,7 +177,7 @@
         self.rules = rules
 
     def initial(self) -> State:
-        """Return the state after forming: all acceptors have `START`."""
+        """Return the initial state, in which all acceptors have `START`."""
         return State(
             (DurableState(),) * len(ACCEPTORS),
             (BallotState(),) * len(self.operations),
--- a/spec/shift_spec.py
+++ b/spec/shift_spec.py
@@ -1,15 +1,16 @@
 """Specification of a shift of traffic between two regions.
 
 Two entries follow a plan that may be replaced midway; the clock of the first
-entry is wrong. The share that an entry has moved is counted in units of the
-cap per tick. An entry receives a plan up to two ticks late, may be frozen, and
-adopts the share of the other entry when it restarts.
-
-The checked properties: no entry moves faster than the cap, no entry moves away
-from the target of a replaced plan, an entry that restarts adopts a share of the
-other entry without a jump, and the first entry reaches the target of the
-newest plan. Run as a script, the module checks all states and then that each
-broken variant violates a property.
+entry may be up to two ticks wrong. The share that an entry has moved is counted
+in units of the cap per tick. Each entry receives a plan up to two ticks late.
+The second entry may be frozen for up to two ticks in a row and may restart; it
+then adopts the share of the first.
+
+The checked properties: no entry moves faster than the cap, the first entry
+doesn't move away from the target of the plan that replaced the first plan, the
+second entry adopts the share of the first without a jump when it restarts, and
+the first entry reaches the target of the newest plan. Run as a script, the
+module checks all states and then that each broken variant violates a property.
 """
 
 import sys
@@ -48,7 +49,7 @@
 
 
 def _target(plan):
-    """Return the share at the end of a plan, 1 or its replacement, 2."""
+    """Return the share at the end of plan 1 or of its replacement, plan 2."""
     return FULL_SHARE if plan == 1 else 0
 
 
@@ -75,7 +76,8 @@
     """Return the share to move to: by the clock or by the age of the plan.
 
     Of the two, it is the share closer to the plan's target. The age is the
-    time since the plan was received, so a wrong clock can't delay the shift.
+    time since the plan was received, here with the largest delay. It doesn't
+    depend on the clock, so a wrong clock can't delay the shift.
     """
     by_clock = _planned_share(plan, tick, replaced_at, skew, variant)
     by_age = _planned_share(
@@ -122,7 +124,8 @@
                     new_plan_a, tick, new_replaced_at, skew, variant
                 )
                 new_share_a = _next_share(share_a, desired, variant)
-                # Moved away from the target, beyond the start of the new plan.
+                # The share grew although plan 2 has the target 0 and the entry
+                # had already moved the share at which plan 2 starts.
                 is_reversed = int(
                     new_plan_a == 2
                     and new_share_a
--- a/spec/slots_spec.py
+++ b/spec/slots_spec.py
@@ -52,9 +52,10 @@
 class State(NamedTuple):
     """State of both entries and of the network.
 
-    A slot request is unique, and stays closed once it is closed. A release or a
-    sync that may arrive late, twice or never is therefore modelled as a step
-    that the grantor may take at any time after the request was closed. A
+    A slot request is unique. It is closed when its slot is released, the
+    request is withdrawn or its entry crashes, and is never reopened. A release
+    or a sync that may arrive late, twice or never is therefore modelled as a
+    step that the grantor may take at any time after the request was closed. A
     request in `sent` may arrive at any time, and so may a grant in `grants`.
 
     Attributes:
