--- a/bench/emulator/__init__.py
+++ b/bench/emulator/__init__.py
@@ -1,4 +1,5 @@
 """Discrete-event simulation of entries, servers and callers.
 
-It runs the code that chooses servers on large deployments within seconds.
+It evaluates the daemon's server selection on large simulated deployments, in
+virtual time.
 """
--- a/bench/emulator/__main__.py
+++ b/bench/emulator/__main__.py
@@ -1,7 +1,7 @@
-"""Command `python -m bench.emulator`: evaluate the choice of servers.
+"""Command `python -m bench.emulator`: evaluate the server selection.
 
-It prints the scores of the local choice of servers on simulated deployments,
-under load, slow servers, bursts and evacuations.
+It prints the scores of the entries' local server selection on simulated
+deployments, under load, slow servers, bursts and evacuations.
 """
 
 from concurrent import futures
--- a/bench/emulator/ablation.py
+++ b/bench/emulator/ablation.py
@@ -1,4 +1,4 @@
-"""Ablation study of the choice of servers: `python -m bench.emulator.ablation`.
+"""Ablation study of the server selection: `python -m bench.emulator.ablation`.
 
 Each mechanism is switched off alone, and the same scenarios are simulated
 again: usual load, a burst during the evacuation of a failure domain, and slow
@@ -25,7 +25,8 @@
 EVACUATION_SPAN_S = (10.0, 28.0)
 SLOW_SPAN_S = (13.0, 22.0)
 SILENCE_REPORT_PERIOD_S = 0.5
-_NEVER = 1e9
+# A threshold that no value reaches.
+_UNREACHABLE = 1e9
 
 
 class Scenario(NamedTuple):
@@ -44,8 +45,9 @@
 class Mechanism(NamedTuple):
     """A mechanism, and how it is switched off.
 
-    `replacement` replaces the attribute `attribute` of `target`;
-    `silence_report_period_s` is the period of silence reports, 0 for none.
+    `replacement` replaces the attribute `attribute` of `target`, a module or
+    class; `silence_report_period_s` is the period of silence reports, 0 for
+    none.
     """
 
     name: str
@@ -73,7 +75,9 @@
     Mechanism("second server per object", local, "SERVERS_PER_OBJECT", 1),
     Mechanism("no third server", local, "SERVERS_PER_OBJECT", 3),
     Mechanism("home region weight", local, "HOME_REGION_WEIGHT", 1.0),
-    Mechanism("bound on expected time", local, "MAX_GOAL_RATIOS", (_NEVER,)),
+    Mechanism(
+        "bound on expected time", local, "MAX_GOAL_RATIOS", (_UNREACHABLE,)
+    ),
     Mechanism("bound by priority", local, "MAX_GOAL_RATIOS", (1.5,)),
     Mechanism("learned run times", estimates.Estimates, "observe", _ignore),
     Mechanism(
@@ -83,10 +87,14 @@
         lambda *_: True,
     ),
     Mechanism("servers' load reports", local, "REPORT_MAX_AGE_S", -1.0),
-    Mechanism("silent servers avoided", local, "SILENT_AFTER_GOALS", _NEVER),
+    Mechanism(
+        "silent servers avoided", local, "SILENT_AFTER_GOALS", _UNREACHABLE
+    ),
     Mechanism("silence reports", silence_report_period_s=0.0),
     Mechanism("ejection after a refusal", local, "SHED_EJECTION_S", 0.0),
-    Mechanism("ejection after failures", local, "EJECT_AFTER_FAILURES", _NEVER),
+    Mechanism(
+        "ejection after failures", local, "EJECT_AFTER_FAILURES", _UNREACHABLE
+    ),
 )
 
 
@@ -131,9 +139,9 @@
     if mechanism.silence_report_period_s:
         sim.enable_silence_reports(mechanism.silence_report_period_s)
     sim.run(DURATION_S)
-    worth = sim.worth()
-    parts = ("day", "windows", "kind", "region", "served")
-    return statistics.mean(worth[part] for part in parts)
+    scores = sim.worth()
+    score_names = ("day", "windows", "kind", "region", "served")
+    return statistics.mean(scores[name] for name in score_names)
 
 
 @click.command()
@@ -148,8 +156,8 @@
         for mechanism_number in range(len(MECHANISMS)):
             jobs = [
                 [
-                    pool.submit(_run_task, mechanism_number, scenario, s)
-                    for s in range(seeds)
+                    pool.submit(_run_task, mechanism_number, scenario, seed)
+                    for seed in range(seeds)
                 ]
                 for scenario in scenarios
             ]
@@ -162,9 +170,11 @@
                     statistics.mean(scores)
                     for scores in zip(*rows, strict=True)
                 ]
-                spread = statistics.stdev(means_by_seed) if seeds > 1 else 0.0
+                deviation = (
+                    statistics.stdev(means_by_seed) if seeds > 1 else 0.0
+                )
                 cells.append(
-                    f"{statistics.mean(means_by_seed):.3f} +-{spread:.3f}"
+                    f"{statistics.mean(means_by_seed):.3f} +-{deviation:.3f}"
                 )
             row = " ".join(f"{cell:>14}" for cell in cells)
             click.echo(f"{MECHANISMS[mechanism_number].name:24} {row}")
--- a/bench/emulator/simulation.py
+++ b/bench/emulator/simulation.py
@@ -26,13 +26,16 @@
 COLD_FACTOR = 2.0
 # Seconds for which a server stays cold.
 WARM_UP_S = 3.0
-# Servers to which one try of a caller may be sent.
+# Servers to which an entry may send one try of a caller's request; failed
+# connections allow two more (see `_handle_connect_failure`).
 ATTEMPTS = 2
 # Standard deviation of the logarithm of the service time (log-normal).
 SERVICE_TIME_SIGMA = 0.15
+# Share of a request's worth that a late answer earns.
 LATE_WORTH_SHARE = 0.2
 # Failure domains in each region.
 DOMAINS_PER_REGION = 2
+# Period of the sinusoidal variation of the request rates.
 LOAD_PERIOD_S = 36.0
 
 
@@ -217,7 +220,7 @@
         self._reopened.update(self._closed_domains, self.now)
 
     def _build_directory(self) -> directory.Directory:
-        """Return the directory that entries have from gossip."""
+        """Return a directory of all servers, as entries get it by gossip."""
         server_directory = directory.Directory(math.inf)
         for name, server in self.servers.items():
             server_directory.servers.update(name, server.record, 0.0)
@@ -426,8 +429,8 @@
             return
         self._pending.remove(request.number)
         duration_s = self.now - request.created_at
-        done = messages.AttemptResult("failed", duration_s, True, False)
-        entry.record_done(server.record.server_id, done, 3.0, self.now)
+        result = messages.AttemptResult("failed", duration_s, True, False)
+        entry.record_done(server.record.server_id, result, 3.0, self.now)
         self._record_outcome(request, "failed", 0.0)
 
     def _delay_s(self, region: str, server: Server) -> float:
@@ -451,7 +454,9 @@
         elif len(server.queue) < 3 * slots:
             server.queue.append((request, entry, sent))
         else:
-            done = messages.AttemptResult("shed", 0.0, True, False, server.load)
+            result = messages.AttemptResult(
+                "shed", 0.0, True, False, server.load
+            )
             delay_s = self._delay_s(request.region, server)
             self.schedule(
                 self.now + delay_s,
@@ -459,7 +464,7 @@
                 request,
                 entry,
                 server,
-                done,
+                result,
                 tried,
             )
 
@@ -473,8 +478,8 @@
         if request.number not in self._pending:
             return
         self._pending.remove(request.number)
-        done = messages.AttemptResult("failed", 0.0, False, False)
-        entry.record_done(server.record.server_id, done, 3.0, self.now)
+        result = messages.AttemptResult("failed", 0.0, False, False)
+        entry.record_done(server.record.server_id, result, 3.0, self.now)
         # Nothing was sent, so two more attempts are allowed (see
         # core/attempts).
         if len(tried) + 1 >= ATTEMPTS + 2:
@@ -484,12 +489,12 @@
 
     def _handle_shed(
         self, request: CallerRequest, entry: Any, server: Server,
-        done: messages.AttemptResult, tried: tuple[str, ...],
+        result: messages.AttemptResult, tried: tuple[str, ...],
     ) -> None:  # fmt: skip
         if request.number not in self._pending:
             return
         self._pending.remove(request.number)
-        entry.record_done(server.record.server_id, done, 3.0, self.now)
+        entry.record_done(server.record.server_id, result, 3.0, self.now)
         if len(tried) + 1 >= ATTEMPTS:
             self._refuse(request, 0.1)
             return
@@ -539,11 +544,11 @@
         if request.number not in self._pending:
             return
         self._pending.remove(request.number)
-        done = messages.AttemptResult(
+        result = messages.AttemptResult(
             "answered", self.now - sent, True, True, load
         )
-        entry.learn(self.grants[request.number], done, self.now)
-        entry.record_done(server.record.server_id, done, 3.0, self.now)
+        entry.learn(self.grants[request.number], result, self.now)
+        entry.record_done(server.record.server_id, result, 3.0, self.now)
         kind = request.kind
         duration_s = self.now + self.site.caller_delay_s - request.created_at
         if duration_s <= kind.goal_s:
@@ -564,7 +569,7 @@
         self._record_outcome(request, "refused", 0.0)
 
     def _record_outcome(
-        self, request: CallerRequest, outcome: str, credit: float
+        self, request: CallerRequest, outcome: str, worth_share: float
     ) -> None:
         self.outcome_counts[request.kind.name][outcome] += 1
         worth = request.kind.worth
@@ -574,7 +579,7 @@
         )
         for sums_by_key, key in pairs:
             sums = sums_by_key.setdefault(key, [0.0, 0.0])
-            sums[0] += worth * credit
+            sums[0] += worth * worth_share
             sums[1] += worth
 
     def worth(self) -> dict[str, float]:
--- a/bench/emulator/sites.py
+++ b/bench/emulator/sites.py
@@ -27,10 +27,10 @@
 
 
 class Pool(NamedTuple):
-    """A pool of servers: their number by region, and what one server has.
+    """A pool of servers: their number by region, and the capacity of each.
 
-    A server has `slots` slots and a cache of `cached_objects` objects. It bears
-    `cold_rate` requests a second while it is cold.
+    A server has `slots` slots and a cache of `cached_objects` objects. It can
+    handle `cold_rate` requests a second while it is cold.
     """
 
     name: str
@@ -41,7 +41,7 @@
 
 
 class Site(NamedTuple):
-    """A deployment.
+    """A simulated deployment.
 
     `entries` is the number of entries by region. Delays are one way, in
     seconds: from a caller to an entry, and from an entry to a server of its own
