--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -1,12 +1,13 @@
-"""Rules that must hold in every soak run, whatever its faults."""
+"""Checks of a soak run: overloaded cold servers, recovery after faults."""
 
 import bisect
 
 from bench.emulator import simulation
 from bench.soak import faults
 
-# Requests a second beyond which a cold server crashes: a multiple of the rate
-# that it bears, and some more. These are the limits of the users' platform.
+# A cold server crashes if it receives more than
+# `cold_rate * COLD_OVERSHOOT + COLD_SLACK` requests in one second. These are
+# the limits of the users' platform.
 COLD_OVERSHOOT = 1.5
 COLD_SLACK = 5.0
 # Least worth after the last fault, as a share of the worth of the same interval
@@ -14,6 +15,7 @@
 MIN_RECOVERED_SHARE = 0.9
 # Time after the last fault in which requests delayed by it may still arrive.
 SETTLE_S = 6.0
+# Length of the windows of `Simulation.worth_by_window`.
 WINDOW_S = 2
 
 
@@ -51,7 +53,7 @@
 def find_lost_worth(
     sim: simulation.Simulation, baseline: simulation.Simulation, seconds: float
 ) -> list[str]:
-    """Return a finding if worth is lost after the last fault.
+    """Return a finding if too little worth is earned after the last fault.
 
     Args:
         sim: The simulation with faults.
--- a/bench/soak/faults.py
+++ b/bench/soak/faults.py
@@ -5,6 +5,8 @@
 
 from bench.emulator import simulation
 
+# Kinds of fault. A `MUTE` server accepts requests and doesn't answer, a `DEAD`
+# one accepts no connection, a `COLD` one is cold and announces it.
 SLOW = "slow"
 MUTE = "mute"
 DEAD = "dead"
@@ -27,8 +29,8 @@
     """One fault.
 
     `begin_s` and `end_s` count from the start of the run. `share` is the share
-    of the servers or entries that it affects; of an evacuation, it selects the
-    failure domain. `factor` is the slowdown of slow servers.
+    of the servers or entries that it affects; for an evacuation, it selects
+    the failure domain. `factor` is the slowdown of slow servers.
     """
 
     kind: str
@@ -61,8 +63,8 @@
 def plan_evacuations(seed: int, seconds: float) -> list[Fault]:
     """Return evacuations of failure domains, one after the other.
 
-    The servers are cold at the end of each, and their announcements don't say
-    so.
+    The domain's servers are cold at the end of each evacuation, and their
+    announcements don't say so.
 
     Args:
         seed: Seed of the random numbers.
@@ -106,7 +108,7 @@
 
 
 def _schedule_evacuation(sim: simulation.Simulation, fault: Fault) -> None:
-    """Schedule the evacuation of a failure domain and its cold servers."""
+    """Schedule an evacuation; the domain's servers are cold at its end."""
     servers = list(sim.servers.values())
     domains = sorted({server.record.failure_domain for server in servers})
     domain = domains[int(fault.share * len(domains))]
@@ -126,7 +128,7 @@
 
 
 def _schedule_entry_losses(sim: simulation.Simulation, fault: Fault) -> None:
-    """Schedule the loss of entries; the region keeps at least one entry."""
+    """Schedule the loss of entries; each region keeps at least one."""
     for region, entries in sim.entries.items():
         count = min(len(entries) - 1, round(fault.share * len(entries)))
         for entry in sim.rng.sample(entries, count):
--- a/bench/soak/soak_run.py
+++ b/bench/soak/soak_run.py
@@ -28,7 +28,7 @@
 
 
 class RunResult(NamedTuple):
-    """Result of a run: a line that summarises it, and the rules it broke."""
+    """Result of a run: its summary line and its findings."""
 
     summary: str
     findings: list[str]
--- a/tests/bench/soak/soak.feature
+++ b/tests/bench/soak/soak.feature
@@ -1,8 +1,8 @@
 Feature: soak runs of random faults on simulated sites
-  The soak's checks must detect a self-sustaining overload and overloaded cold
-  servers. Otherwise a broken policy would pass.
+  The soak test must detect a self-sustaining overload and overloaded cold
+  servers. Otherwise a broken server selection would pass.
 
-  Scenario Outline: the policy passes a run with random faults
+  Scenario Outline: the server selection passes a run with random faults
     When a soak runs "<site>" with seed <seed>
     Then the soak has no findings
 
@@ -12,7 +12,7 @@
       | market | 4    |
       | shops  | 3    |
 
-  Scenario Outline: servers that are cold after an evacuation, unannounced, are not overloaded
+  Scenario Outline: servers that are cold after an evacuation without announcing it are not overloaded
     When a soak runs "<site>" with seed <seed> and evacuations
     Then the soak has no findings
 
@@ -21,18 +21,18 @@
       | market  | 1    |
       | casting | 1    |
 
-  Scenario: entries that treat servers without an announcement as warm are detected
-    Given soaked entries that treat servers as warm unless announced as cold
+  Scenario: entries that treat servers as warm unless announced as cold are detected
+    Given a soak with entries that treat servers as warm unless announced as cold
     When a soak runs "casting" with seed 1 and evacuations
     Then the soak has a finding with "while cold"
 
   Scenario: entries that spread an overload over all servers are detected
-    Given soaked entries that use any server when an object's servers are loaded
+    Given a soak with entries that use any server when an object's servers are loaded
     When a soak runs "market" with seed 1 at 1.6 times its load
     Then the soak has a finding with "worth share"
 
   Scenario: entries that do not share the allowance of a cold server are detected
-    Given soaked entries that each use the whole allowance of a cold server
+    Given a soak with entries that each use the whole allowance of a cold server
     When a soak runs "market" with seed 1 at 1.6 times its load
     Then the soak has a finding with "while cold"
 
--- a/tests/steps/bench/soak/soak_steps.py
+++ b/tests/steps/bench/soak/soak_steps.py
@@ -21,7 +21,10 @@
     context.add_cleanup(patch.stop)
 
 
-@given("soaked entries that use any server when an object's servers are loaded")
+@given(
+    "a soak with entries that use any server when an object's servers are"
+    " loaded"
+)
 def _(context):
     def least_loaded(chooser, req, order, servers, view):
         return chooser._least_loaded(req, servers, view)
@@ -29,16 +32,20 @@
     _patch(context, local.Chooser, "_by_object", least_loaded)
 
 
-@given("soaked entries that each use the whole allowance of a cold server")
+@given("a soak with entries that each use the whole allowance of a cold server")
 def _(context):
-    def draw_itself(own, server_id, entries):
-        return (own._name,)
+    def draw_this_entry(cold_allowance, server_id, entries):
+        return (cold_allowance._name,)
 
-    _patch(context, allowance.ColdServerAllowance, "_draw_senders", draw_itself)
+    _patch(
+        context, allowance.ColdServerAllowance, "_draw_senders", draw_this_entry
+    )
     _patch(context, allowance, "SENDERS", 1)
 
 
-@given("soaked entries that treat servers as warm unless announced as cold")
+@given(
+    "a soak with entries that treat servers as warm unless announced as cold"
+)
 def _(context):
     def is_cold(domains, server_id, warm_up_s, now):
         return False
