--- a/bench/chaos/__main__.py
+++ b/bench/chaos/__main__.py
@@ -26,6 +26,7 @@
 _CONVERGENCE_TIMEOUT_S = 13.0
 # Faults during which an upload may be lost. A planned stop must not lose one.
 _CUTTING_FAULTS = (schedule.KILL, schedule.FREEZE, schedule.BLANK)
+# Seconds after a fault or crash in which an upload may still be lost.
 _RECOVERY_MARGIN_S = 6.0
 
 
@@ -148,7 +149,11 @@
             highest[incarnation] = max(revision, highest.get(incarnation, 0))
 
     async def _wait_for_convergence(self) -> None:
-        """Wait until all entries have the newest revision, then check edits."""
+        """Wait until all entries have the newest revision, then run checks.
+
+        Adds findings on edits, on processes that ended unexpectedly and on
+        unclean stops.
+        """
         deadline = trio.current_time() + _CONVERGENCE_TIMEOUT_S
         operators = callers.Operators(self.history, self._rng)
         revisions: dict[str, int] = {}
@@ -187,10 +192,10 @@
         ]
         for upload in self.history.uploads:
             cut = upload.outcome not in (history.ANSWERED, history.NOT_RUN)
-            if cut and not self._is_excused(upload):
+            if cut and not self._may_be_cut_by_fault(upload):
                 self.findings.append(f"upload lost without a fault: {upload}")
 
-    def _is_excused(self, upload: history.Upload) -> bool:
+    def _may_be_cut_by_fault(self, upload: history.Upload) -> bool:
         return any(
             crash.sent_s <= upload.end_s
             and upload.begin_s <= crash.sent_s + _RECOVERY_MARGIN_S
--- a/bench/chaos/callers.py
+++ b/bench/chaos/callers.py
@@ -95,7 +95,7 @@
             return None
 
     async def read(self) -> None:
-        """Read one page after another and check that each is the right one."""
+        """Read pages and check that each response is for the requested path."""
         while True:
             path = f"/catalogue/{next(self._numbers)}"
             entry = await self._look_up_entry(path)
@@ -113,7 +113,7 @@
                 self._history.misdelivered_paths.append(path)
 
     async def pay(self) -> None:
-        """Send payments; repeat one only if its outcome says it did not run."""
+        """Send payments; repeat one only if it certainly did not run."""
         while True:
             key = f"payment-{next(self._numbers)}"
             outcome = await self._pay(key)
@@ -186,7 +186,7 @@
             self._tables = yaml.safe_load(file)
 
     async def race_edits(self) -> None:
-        """Repeatedly send two concurrent edits of the same revision."""
+        """Repeatedly send two concurrent edits based on the same revision."""
         while True:
             revision = await self.revision()
             if revision is not None:
@@ -213,7 +213,7 @@
             return None
 
     async def _edit(self, change_id: str, expect: int) -> None:
-        """Send an edit until it is accepted or refused."""
+        """Send an edit until it is accepted or refused, up to `_MAX_TRIES`."""
         text = self._edited_tables()
         for _ in range(_MAX_TRIES):
             control = self._rng.choice(layout.names(layout.CONTROL))
--- a/bench/chaos/crashes.py
+++ b/bench/chaos/crashes.py
@@ -14,15 +14,16 @@
 _INTERVAL_RANGE_S = (0.1, 0.8)
 _RESTART_DELAY_RANGE_S = (0.5, 3.0)
 _DETECTION_DELAY_S = 0.1
-# Crashes by one request that are allowed before all entries know of it, and
-# again afterwards; and the time after which an entry that was affected by a
-# fault knows what the others do.
+# Allowed number of crashes by one request before all entries have quarantined
+# it, and again afterwards.
 _MAX_CRASHES = 3
+# Seconds within which all entries must know of the quarantine: after the last
+# allowed crash, or after the end of a fault that affected the entry.
 _PROPAGATION_S = 4.0
 
 
 class CrashInjector:
-    """Sends the request until cancelled and restarts the crashed servers.
+    """Sends a crashing request until cancelled; restarts the crashed servers.
 
     Args:
         fleet: The processes.
@@ -44,7 +45,7 @@
         self._start_time = start_time
 
     async def run(self) -> None:
-        """Send the request again and again to random entries."""
+        """Send the crashing request repeatedly to random entries."""
         async with trio.open_nursery() as nursery:
             while True:
                 await trio.sleep(self._rng.uniform(*_INTERVAL_RANGE_S))
@@ -78,10 +79,10 @@
 def check_crashes(
     crashes: list[history.Crash], faults: list[schedule.Fault]
 ) -> list[str]:
-    """Return a finding if entries sent the request on after they knew of it.
+    """Return a finding if the request crashes servers despite quarantine.
 
     Args:
-        crashes: The crashes by the request, in the order of time.
+        crashes: The crashes by the request, in order of time.
         faults: The faults injected in the run.
     """
     if len(crashes) <= _MAX_CRASHES:
@@ -98,7 +99,7 @@
 
 
 def _is_disturbed(crash: history.Crash, faults: list[schedule.Fault]) -> bool:
-    """Return whether a fault may have kept the entry from knowing of it."""
+    """Return whether a fault may have delayed quarantine at the entry."""
     return any(
         fault.target == crash.entry
         and fault.begin_s - 1 <= crash.sent_s
@@ -108,7 +109,7 @@
 
 
 def _outage_s(fault: schedule.Fault) -> float:
-    """Return the greatest time for which a fault's target doesn't serve."""
+    """Return the longest time for which a fault's target doesn't serve."""
     if fault.kind == schedule.STOP:
         return fault.duration_s + schedule.STOP_MAX_S
     return fault.duration_s + schedule.START_S
--- a/bench/chaos/fleet.py
+++ b/bench/chaos/fleet.py
@@ -69,7 +69,7 @@
     async def stop(self, name: str) -> None:
         """Stop a process with SIGTERM and wait until it has ended.
 
-        A bad exit status, or no end in time, is added to `unclean_stops`.
+        An unexpected exit status or a timeout is added to `unclean_stops`.
         """
         self._signal(name, signal.SIGTERM)
         process = self._processes[name]
--- a/bench/chaos/history.py
+++ b/bench/chaos/history.py
@@ -67,7 +67,7 @@
         self.crash_request_outcomes: Counter[str] = Counter()
 
     def record_accepted(self, change_id: str, revision: int) -> None:
-        """Record that an operator received `accepted` for a revision."""
+        """Record that an edit was accepted as a revision."""
         earlier = self.accepted.setdefault(change_id, revision)
         if earlier != revision:
             self.revision_findings.append(
--- a/bench/chaos/layout.py
+++ b/bench/chaos/layout.py
@@ -16,6 +16,8 @@
 
 
 BASE_PORT = 21_000
+# Port offsets from `BASE_PORT`, by role; the number in the process's name is
+# added.
 _HTTP = {CONTROL: 0, ENTRY: 100, SERVER: 200}
 _GOSSIP = {CONTROL: 300, ENTRY: 400}
 _RPC = {CONTROL: 500, ENTRY: 550}
--- a/bench/chaos/schedule.py
+++ b/bench/chaos/schedule.py
@@ -5,6 +5,9 @@
 
 from bench.chaos import layout
 
+# Kinds of fault. `BLANK` kills a control instance and deletes its data folder,
+# `STOP` is a planned stop, `CUT` and `DELAY` affect the link to a control
+# instance.
 KILL = "kill"
 FREEZE = "freeze"
 BLANK = "blank"
@@ -51,8 +54,8 @@
     """Return the faults of a run in the order of their begin.
 
     Only one control instance fails at a time. Otherwise an accepted edit could
-    be lost for good together with all the disks that stored it. Their faults
-    may overlap with those of entries and servers, and some faults occur in
+    be lost for good, with all the disks that stored it. Faults of entries and
+    servers may overlap with any fault of another process; some faults start in
     pairs.
 
     Args:
--- a/tests/bench/chaos/history.feature
+++ b/tests/bench/chaos/history.feature
@@ -1,7 +1,8 @@
 Feature: checks on the history of a chaos test
   The chaos test must detect each kind of fault that it checks for, such as a
-  payment that ran twice. Otherwise it would pass a broken system. Each scenario
-  puts a fault into the history and expects a finding.
+  payment that ran twice. Otherwise it would pass a broken system. The
+  scenarios expect findings on histories with such faults and none on correct
+  ones.
 
   Scenario Outline: <case>
     Given a chaos history in which payment "p" had outcome <outcome>
