--- a/bench/load/__main__.py
+++ b/bench/load/__main__.py
@@ -1,4 +1,4 @@
-"""Command `python -m bench.load`."""
+"""Command `python -m bench.load`: run load scenarios, compare their results."""
 
 import sys
 
--- a/bench/load/connection.py
+++ b/bench/load/connection.py
@@ -15,7 +15,7 @@
 
 
 class Answer(NamedTuple):
-    """A complete answer; `body` has its first bytes, `length` counts all."""
+    """A complete answer; `body` has its first 64 KiB, `length` counts all."""
 
     status: int
     headers: dict[bytes, bytes]
@@ -55,7 +55,8 @@
             pause_s: Seconds to wait after each 64 KiB of the body.
 
         Raises:
-            OSError: when the connection failed.
+            NotConnectedError: when the connection could not be opened.
+            trio.BrokenResourceError: when the connection failed afterwards.
             h11.ProtocolError: when the answer is not HTTP or is incomplete.
         """
         all_headers = (
@@ -77,7 +78,8 @@
         """Send a request with this body; return the complete answer.
 
         Raises:
-            OSError: when the connection failed.
+            NotConnectedError: when the connection could not be opened.
+            trio.BrokenResourceError: when the connection failed afterwards.
             h11.ProtocolError: when the answer is not HTTP or is incomplete.
         """
         all_headers = [("host", host), ("content-length", str(len(body)))]
--- a/bench/load/runner.py
+++ b/bench/load/runner.py
@@ -2,7 +2,7 @@
 
 In an open-loop run the latency of a request is measured from the time at which
 the schedule planned to start it, also when all connections are busy then. A
-stall of a server so shows in the latency of every request that it delayed
+server's stall therefore shows in the latency of every request that it delayed
 (no coordinated omission).
 """
 
@@ -27,7 +27,7 @@
 
 
 class PlannedRequest(NamedTuple):
-    """A request; `due_s` is its planned start, in seconds since the run's."""
+    """A request, planned to start `due_s` seconds after the run's start."""
 
     number: int
     due_s: float
@@ -35,7 +35,7 @@
 
 
 class Tally:
-    """Latency histograms and outcome counts by request kind."""
+    """Latency histograms, in microseconds, and outcome counts by kind."""
 
     def __init__(self) -> None:
         self.latencies: dict[str, histogram.HdrHistogram] = {}
--- a/tests/bench/load/runner.feature
+++ b/tests/bench/load/runner.feature
@@ -9,7 +9,7 @@
     Given a load of 100 requests a second for 10 s by 1 caller
     When the server stalls from 4 s to 5 s
     Then each of the requests due from 4 s to 4.9 s took more than 100 ms
-    And the longest took at least 900 ms
+    And the longest request took at least 900 ms
 
   Scenario: the same seed gives the same schedule
     Given a load of 100 requests a second for 10 s by 1 caller
--- a/tests/steps/bench/load/runner_steps.py
+++ b/tests/steps/bench/load/runner_steps.py
@@ -18,7 +18,7 @@
 
 
 class _StalledConnection:
-    """A connection that answers at once, or at the end of the stall."""
+    """A connection that answers after 1 ms, or 1 ms after the stall's end."""
 
     def __init__(self, stall):
         self._stall = stall
@@ -78,7 +78,7 @@
     assert slow >= len(due) > 0, (slow, len(due))
 
 
-@then("the longest took at least {limit:d} ms")
+@then("the longest request took at least {limit:d} ms")
 def _(context, limit):
     longest = context.latencies.get_value_at_percentile(100)
     assert longest >= limit * 1000, longest
