--- a/bench/chaos/callers.py
+++ b/bench/chaos/callers.py
@@ -213,7 +213,7 @@
             return None
 
     async def _edit(self, change_id: str, expect: int) -> None:
-        """Send an edit until it is accepted or refused, up to `_MAX_TRIES`."""
+        """Send an edit until answered below 500, at most `_MAX_TRIES` times."""
         text = self._edited_tables()
         for _ in range(_MAX_TRIES):
             control = self._rng.choice(layout.names(layout.CONTROL))
