--- a/hyssopfold/entry/claims.py
+++ b/hyssopfold/entry/claims.py
@@ -162,7 +162,7 @@
     def settle(
         self, granted: GrantedClaim, request_id: str, outcome: str, status: int
     ) -> None:
-        """Report the outcome of a request to its holders, without waiting.
+        """Report a request's outcome to its claim's holders, without waiting.
 
         Args:
             granted: The claim that the request was granted.
@@ -263,7 +263,7 @@
                     )
 
     def _holder_names(self) -> set[str]:
-        """Return the entries of this region that may hold claims, by name."""
+        """Return the names of this region's entries that may hold claims."""
         me = self._own_record()
         others = {
             entry.name
@@ -300,26 +300,26 @@
     claims.VerdictKind.RUNNING: (
         409,
         "unknown",
-        "wait: the first request with this key is still running",
+        "wait: the first request with this key is still under way",
     ),
     claims.VerdictKind.ANSWERED: (
         409,
         "unknown",
-        "check the effect of the first request with this key, which was"
+        "look at the effect of the first request with this key, which was"
         " answered with status {status}",
     ),
     claims.VerdictKind.UNKNOWN: (
         409,
         "unknown",
-        "check whether the first request with this key took effect",
+        "look whether the first request with this key took effect",
     ),
     claims.VerdictKind.OTHER_REQUEST: (
         422,
         "not-run",
         "use a new key: this one belongs to a different request",
     ),
-    claims.VerdictKind.FULL: (503, "not-run", "retry later"),
-    claims.VerdictKind.UNREACHABLE: (503, "not-run", "retry later"),
+    claims.VerdictKind.FULL: (503, "not-run", "ask again later"),
+    claims.VerdictKind.UNREACHABLE: (503, "not-run", "ask again later"),
 }
 
 
