--- a/hyssopfold/core/balancing/messages.py
+++ b/hyssopfold/core/balancing/messages.py
@@ -264,7 +264,8 @@
 
     `highest_number` is the number of its last slot request. A slot numbered up
     to this that the grantor still counts, but that is not listed here, was
-    released and the release message was lost.
+    released and the release message was lost. A slot request numbered up to
+    this that arrives after the message is late and must be ignored.
     """
 
     pool_region: PoolRegion
